--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -140,7 +140,7 @@
       { index + 1U }, "engine", prefill ? runner_role::ePrefill : runner_role::eDecode, 20,
       8000.0,         false
     };
-    core.Handle(engine_seen{ info }, now);
+    core.Handle(engine_updated{ info }, now);
   }
   constexpr std::uint64_t kRequests = 200;
   const double before = CpuMicros();
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -207,7 +207,7 @@
   return { aName, [](const workload& aLoad, const run_options& aOptions) {
             run_options options = aOptions;
             options.mOwnerQueue = false;
-            options.mSwitches.mDecodePromise = false;
+            options.mSwitches.mDecodeSlotGating = false;
             options.mSwitches.mAdmission = false;
             return RunPolicy<Chooser>(aLoad, options);
           } };
@@ -240,7 +240,7 @@
 {
   return {
     Dunehook(),
-    Without("decode promise", [](run_options& aRun) { aRun.mSwitches.mDecodePromise = false; }),
+    Without("decode promise", [](run_options& aRun) { aRun.mSwitches.mDecodeSlotGating = false; }),
     Without("owner's queue", [](run_options& aRun) { aRun.mOwnerQueue = false; }),
     Without("prefix affinity", [](run_options& aRun) { aRun.mSwitches.mPrefixAffinity = false; }),
     Without("chunked transfers",
--- a/bench/policy_run.cpp
+++ b/bench/policy_run.cpp
@@ -118,7 +118,7 @@
   void SeeEngine(const engine_info& aInfo)
   {
     for (auto& core : mCores) {
-      core->Handle(engine_seen{ aInfo }, mQueue.Now());
+      core->Handle(engine_updated{ aInfo }, mQueue.Now());
     }
   }
 
@@ -218,10 +218,11 @@
       const auto held = static_cast<std::uint32_t>(mDecodes[index]->Held());
       for (auto& core : mCores) {
         if (!mDecodes[index]->Alive()) {
-          CarryOut(core->Handle(engine_silent{ id }, mQueue.Now()));
+          CarryOut(core->Handle(engine_unreachable{ id }, mQueue.Now()));
           continue;
         }
-        const auto own = static_cast<std::uint32_t>(core->State().mEngines.at(id).mWork.size());
+        const auto own =
+          static_cast<std::uint32_t>(core->State().mEngines.at(id).mActiveAttempts.size());
         const std::uint32_t foreign = mOptions.mOwnerQueue || held < own ? 0 : held - own;
         CarryOut(core->Handle(load_reported{ id, held, foreign }, mQueue.Now()));
       }
--- a/src/control/cell_owner.cpp
+++ b/src/control/cell_owner.cpp
@@ -88,7 +88,7 @@
 cell_owner::NoteGone(incarnation_id aIncarnation)
 {
   for (auto& [key, cell] : mCells) {
-    Carry(*cell, incarnation_gone{ aIncarnation });
+    Carry(*cell, incarnation_ended{ aIncarnation });
   }
 }
 
@@ -113,7 +113,7 @@
     settings.mLink = *link;
   }
   if (settings != aCell.mCore.State().mSettings) {
-    Carry(aCell, cell_changed{ settings });
+    Carry(aCell, cell_settings_changed{ settings });
   }
   std::set<engine_id> seen;
   SyncEngines(aCell, aKey.mPrefillPool, seen);
@@ -125,7 +125,7 @@
     }
   }
   for (const engine_id id : gone) {
-    Carry(aCell, engine_gone{ id });
+    Carry(aCell, engine_removed{ id });
   }
 }
 
@@ -150,7 +150,7 @@
     const auto& engines = aCell.mCore.State().mEngines;
     const auto known = engines.find(info.mId);
     if (known == engines.end() || known->second.mInfo != info) {
-      Carry(aCell, engine_seen{ info });
+      Carry(aCell, engine_updated{ info });
     }
   }
 }
--- a/src/control/cell_watch.cpp
+++ b/src/control/cell_watch.cpp
@@ -19,10 +19,10 @@
 using namespace std::chrono_literals;
 
 /** Longest rest after looks that an engine didn't answer. With kEngineLimit it stays below
- * kFailedTime, for which a failed look keeps work away from the engine: an engine that is silent
- * all the while gets none. */
+ * kFailureBackoff, for which a failed look keeps work away from the engine: an engine that is
+ * silent all the while gets none. */
 constexpr duration kLongestWatchRest = 450ms;
-static_assert(kLongestWatchRest + kEngineLimit < kFailedTime);
+static_assert(kLongestWatchRest + kEngineLimit < kFailureBackoff);
 constexpr duration kStrangerGrace = 1s; ///< A hold unknown here may be news under way.
 
 } // namespace
@@ -88,7 +88,7 @@
     if (holds) {
       ReportHolds(*cell, aEngine, holds.value(), strangers);
     } else {
-      Carry(*cell, engine_silent{ aEngine });
+      Carry(*cell, engine_unreachable{ aEngine });
     }
   }
   if (!strangers.empty() && mFreeing.insert(aEngine).second) {
@@ -107,11 +107,11 @@
   load_reported report{ aEngine, 0, 0 };
   std::map<std::pair<engine_id, attempt_id>, instant> stillStrange;
   for (const engine_hold& hold : aHolds) {
-    report.mHeld += hold.mSlot ? 1 : 0;
+    report.mHeldSlots += hold.mSlot ? 1 : 0;
     if (aCell.mCore.State().mRequests.contains(hold.mAttempt)) {
       continue;
     }
-    report.mForeign += hold.mSlot ? 1 : 0;
+    report.mOtherSlots += hold.mSlot ? 1 : 0;
     const auto row = std::make_pair(aEngine, hold.mAttempt);
     const auto since = aCell.mStrangers.try_emplace(row, Now()).first->second;
     stillStrange[row] = since;
--- a/src/decide/cell_base.h
+++ b/src/decide/cell_base.h
@@ -16,7 +16,7 @@
 namespace dunehook {
 
 /** Repeats granted per admitted request. */
-inline constexpr double kRetryShare = 0.1;
+inline constexpr double kRetryCreditPerRequest = 0.1;
 /** Most repeats saved up; also what a new owner starts with. */
 inline constexpr double kMaxRetryCredit = 10.0;
 
@@ -41,7 +41,7 @@
 };
 
 /** A piece of a transfer that is on the link. */
-struct chunk_entry
+struct in_flight_chunk
 {
   attempt_id mAttempt;      ///< Whose.
   std::uint64_t mBytes = 0; ///< How large.
@@ -51,18 +51,18 @@
 /** Tables of a cell. */
 struct cell_state
 {
-  cell_settings mSettings;                   ///< From the configuration.
-  engine_table mEngines;                     ///< Prefill and decode engines.
-  request_table mRequests;                   ///< Requests admitted and not ended.
-  prefix_index mPrefixes;                    ///< Hints on cached prefixes.
-  std::map<std::string, class_stats> mStats; ///< By class.
-  cell_counters mCounters;                   ///< Totals.
-  std::deque<chunk_entry> mChunks;           ///< Pieces on the link now, oldest first.
-  instant mLastChunk{ 0 };                   ///< When the last piece arrived.
-  double mLinkRate = 0.0;                    ///< Measured bytes a second; 0 until measured.
-  double mRetryCredit = kMaxRetryCredit;     ///< Repeats allowed now; see kRetryShare.
-  std::mt19937_64 mRandom{ 1 };              ///< Spreads Retry-After.
-  instant mNow{ 0 };                         ///< Instant of the tick or event under way.
+  cell_settings mSettings;                     ///< From the configuration.
+  engine_table mEngines;                       ///< Prefill and decode engines.
+  request_table mRequests;                     ///< Requests admitted and not ended.
+  prefix_index mPrefixes;                      ///< Hints on cached prefixes.
+  std::map<std::string, class_stats> mStats;   ///< By class.
+  cell_counters mCounters;                     ///< Totals.
+  std::deque<in_flight_chunk> mInFlightChunks; ///< Pieces on the link now, oldest first.
+  instant mLastChunkFinished{ 0 };             ///< When the last piece arrived.
+  double mLinkRate = 0.0;                      ///< Measured bytes a second; 0 until measured.
+  double mRetryCredit = kMaxRetryCredit;       ///< Repeats allowed now; see kRetryCreditPerRequest.
+  std::mt19937_64 mRandom{ 1 };                ///< Spreads Retry-After.
+  instant mNow{ 0 };                           ///< Instant of the tick or event under way.
 
   /** @return the entry of a request, or null. */
   request_entry* FindRequest(const attempt_id& aAttempt)
--- a/src/decide/chooser.h
+++ b/src/decide/chooser.h
@@ -106,8 +106,8 @@
     return *std::min_element(aCandidates.begin(),
                              aCandidates.end(),
                              [](const engine_entry* aOne, const engine_entry* aTwo) {
-                               return aOne->mWork.size() + aOne->mForeign <
-                                      aTwo->mWork.size() + aTwo->mForeign;
+                               return aOne->mActiveAttempts.size() + aOne->mOtherSlots <
+                                      aTwo->mActiveAttempts.size() + aTwo->mOtherSlots;
                              });
   }
 
--- a/src/decide/decide_type.h
+++ b/src/decide/decide_type.h
@@ -31,7 +31,7 @@
 /** Mechanisms of placement that the bench can switch off one at a time. */
 struct placement_switches
 {
-  bool mDecodePromise = true;    ///< Prefill starts only with a decode slot expected at its end.
+  bool mDecodeSlotGating = true; ///< Prefill starts only with a decode slot expected at its end.
   bool mPrefixAffinity = true;   ///< Prefer the engine that holds the prompt's prefix.
   bool mChunkedTransfers = true; ///< Large transfers go in pieces.
   bool mAdmission = true;        ///< Refuse at once what can't be on time.
--- a/src/decide/event.cpp
+++ b/src/decide/event.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 /** Weight of a new measurement in the mean service time. */
-constexpr double kStatsWeight = 0.1;
+constexpr double kSmoothingFactor = 0.1;
 /** Share of the first-token target that a forecast may take at admission. */
-constexpr double kAdmissionShare = 0.9;
+constexpr double kAdmissionTargetFraction = 0.9;
 /** Retry-After where no engine is there at all. */
-constexpr duration kNoEngineRetry = std::chrono::seconds(2);
+constexpr duration kNoRunnerRetryAfter = std::chrono::seconds(2);
 
 bool
 HasRole(const cell_state& aCell, runner_role aRole)
@@ -58,14 +58,14 @@
     entry.mArrived = mCell.mNow;
     entry.mUncachedTokens = aEvent.mPromptTokens;
     if (!HasRole(mCell, runner_role::ePrefill) || !HasRole(mCell, runner_role::eDecode)) {
-      RefuseNewcomer(entry, errc::eNoRunner, kNoEngineRetry, "no runner");
+      RefuseAtAdmission(entry, errc::eNoRunner, kNoRunnerRetryAfter, "no runner");
       return;
     }
     if (mCell.mSettings.mSwitches.mAdmission && !Admit(entry)) {
       return;
     }
     ++mCell.mCounters.mAdmitted;
-    mCell.mRetryCredit = std::min(kMaxRetryCredit, mCell.mRetryCredit + kRetryShare);
+    mCell.mRetryCredit = std::min(kMaxRetryCredit, mCell.mRetryCredit + kRetryCreditPerRequest);
     mCell.mRequests.emplace(aEvent.mAttempt, std::move(entry));
   }
 
@@ -85,12 +85,12 @@
     }
     entry.mKvBytes =
       std::max<std::uint64_t>(1, aEvent.mRequest.mPromptTokens * mCell.mSettings.mKvBytesPerToken);
-    entry.mReadyAt = mCell.mNow;
-    entry.mSlotSince = mCell.mNow;
+    entry.mPrefillEnd = mCell.mNow;
+    entry.mSlotTakenAt = mCell.mNow;
     entry.mKvExpires = mCell.mNow + mCell.mSettings.mKvLifetime;
     for (const engine_id id : { entry.mPrefill, entry.mDecode }) {
       if (engine_entry* const engine = mCell.FindEngine(id)) {
-        engine->mWork.insert(aEvent.mRequest.mAttempt);
+        engine->mActiveAttempts.insert(aEvent.mRequest.mAttempt);
       }
     }
     mCell.mRequests.insert_or_assign(aEvent.mRequest.mAttempt, std::move(entry));
@@ -104,29 +104,29 @@
     }
     request->mStage = request_stage::eReady;
     request->mAged = false;
-    request->mReadyAt = mCell.mNow;
+    request->mPrefillEnd = mCell.mNow;
     request->mKvExpires = mCell.mNow + mCell.mSettings.mKvLifetime;
     request->mKvBytes = std::max<std::uint64_t>(1, aEvent.mKvBytes);
-    request->mSentBytes = 0;
+    request->mScheduledBytes = 0;
     request->mUncachedTokens = request->mRequest.mPromptTokens -
                                std::min(aEvent.mCachedTokens, request->mRequest.mPromptTokens);
     mCell.mCounters.mPrefillTokens += request->mUncachedTokens;
     for (const prefix_block& block : request->mRequest.mBlocks) {
-      mCell.mPrefixes.NotePresent(request->mPrefill, block.mHash, mCell.mNow);
+      mCell.mPrefixes.RecordCached(request->mPrefill, block.mHash, mCell.mNow);
     }
   }
 
   void operator()(const chunk_finished& aEvent)
   {
     request_entry* const request = mCell.FindRequest(aEvent.mAttempt);
-    if (request == nullptr || request->mChunksUnderWay == 0) {
+    if (request == nullptr || request->mInFlightChunkCount == 0) {
       return;
     }
-    --request->mChunksUnderWay;
-    MeasureLink(aEvent.mAttempt);
-    if (request->mSentBytes == request->mKvBytes && request->mChunksUnderWay == 0) {
+    --request->mInFlightChunkCount;
+    CompleteOldestChunk(aEvent.mAttempt);
+    if (request->mScheduledBytes == request->mKvBytes && request->mInFlightChunkCount == 0) {
       request->mStage = request_stage::eDecoding;
-      LeavePrefill(*request);
+      ReleasePrefillEngine(*request);
     }
   }
 
@@ -137,7 +137,7 @@
       return;
     }
     if (request->mStage == request_stage::eDecoding) {
-      NoteService(*request);
+      UpdateServiceTime(*request);
     }
     ++mCell.mCounters.mFinished;
     ReleaseEngines(mCell, *request);
@@ -147,16 +147,16 @@
   void operator()(const work_failed& aEvent)
   {
     if (engine_entry* const engine = mCell.FindEngine(aEvent.mEngine)) {
-      engine->mAvoidUntil = mCell.mNow + (aEvent.mRefused ? kRefusedTime : kFailedTime);
+      engine->mAvoidUntil = mCell.mNow + (aEvent.mRefused ? kRefusalBackoff : kFailureBackoff);
     }
     request_entry* const request = mCell.FindRequest(aEvent.mAttempt);
     if (request == nullptr) {
       return;
     }
-    const bool keepsPrefill = request->mStage == request_stage::eTransferring &&
-                              aEvent.mEngine == request->mDecode && !aEvent.mKvLost;
-    if (keepsPrefill) {
-      ReturnToReady(*request);
+    const bool prefillResultRemains = request->mStage == request_stage::eTransferring &&
+                                      aEvent.mEngine == request->mDecode && !aEvent.mKvLost;
+    if (prefillResultRemains) {
+      AbortTransfer(*request);
       return;
     }
     Requeue(mCell, aEvent.mAttempt, aEvent.mRefused ? "refused by engine" : "engine failed", mOut);
@@ -172,41 +172,41 @@
     mCell.mRequests.erase(aEvent.mAttempt);
   }
 
-  void operator()(const engine_seen& aEvent)
+  void operator()(const engine_updated& aEvent)
   {
     mCell.mEngines[aEvent.mInfo.mId].mInfo = aEvent.mInfo;
   }
 
-  void operator()(const engine_gone& aEvent)
+  void operator()(const engine_removed& aEvent)
   {
     mCell.mEngines.erase(aEvent.mEngine);
-    mCell.mPrefixes.Forget(aEvent.mEngine);
+    mCell.mPrefixes.RemoveEngine(aEvent.mEngine);
   }
 
-  void operator()(const engine_silent& aEvent)
+  void operator()(const engine_unreachable& aEvent)
   {
     if (engine_entry* const engine = mCell.FindEngine(aEvent.mEngine)) {
-      engine->mAvoidUntil = mCell.mNow + kFailedTime;
+      engine->mAvoidUntil = mCell.mNow + kFailureBackoff;
     }
   }
 
   void operator()(const load_reported& aEvent)
   {
     if (engine_entry* const engine = mCell.FindEngine(aEvent.mEngine)) {
-      engine->mForeign = aEvent.mForeign;
+      engine->mOtherSlots = aEvent.mOtherSlots;
     }
   }
 
   void operator()(const cache_changed& aEvent)
   {
     if (aEvent.mPresent) {
-      mCell.mPrefixes.NotePresent(aEvent.mEngine, aEvent.mHash, mCell.mNow);
+      mCell.mPrefixes.RecordCached(aEvent.mEngine, aEvent.mHash, mCell.mNow);
     } else {
-      mCell.mPrefixes.NoteAbsent(aEvent.mEngine, aEvent.mHash);
+      mCell.mPrefixes.RecordEvicted(aEvent.mEngine, aEvent.mHash);
     }
   }
 
-  void operator()(const incarnation_gone& aEvent)
+  void operator()(const incarnation_ended& aEvent)
   {
     for (auto row = mCell.mRequests.begin(); row != mCell.mRequests.end();) {
       if (row->first.mIncarnation == aEvent.mIncarnation) {
@@ -218,7 +218,7 @@
     }
   }
 
-  void operator()(const cell_changed& aEvent) { mCell.mSettings = aEvent.mSettings; }
+  void operator()(const cell_settings_changed& aEvent) { mCell.mSettings = aEvent.mSettings; }
 
 private:
   bool Admit(const request_entry& aEntry)
@@ -230,69 +230,70 @@
     const priority_class_spec& targets = aEntry.mRequest.mTargets;
     const bool waitsTooLong = forecast.mWait > std::chrono::milliseconds(targets.mMaxWaitMs);
     const bool tooLate =
-      ToSeconds(forecast.mFirstToken) * 1000.0 > kAdmissionShare * targets.mFirstTokenMs;
+      ToSeconds(forecast.mFirstToken) * 1000.0 > kAdmissionTargetFraction * targets.mFirstTokenMs;
     if (!waitsTooLong && !tooLate) {
       return true;
     }
-    RefuseNewcomer(aEntry,
-                   errc::eOverloaded,
-                   forecast.mWait,
-                   waitsTooLong ? "predicted wait too long" : "predicted first token too late");
+    RefuseAtAdmission(aEntry,
+                      errc::eOverloaded,
+                      forecast.mWait,
+                      waitsTooLong ? "predicted wait too long" : "predicted first token too late");
     return false;
   }
 
-  void RefuseNewcomer(const request_entry& aEntry,
-                      errc aReason,
-                      duration aDrain,
-                      std::string_view aText)
+  void RefuseAtAdmission(const request_entry& aEntry,
+                         errc aReason,
+                         duration aPredictedWait,
+                         std::string_view aText)
   {
     ++mCell.mCounters.mRefused;
-    Record(mOut, aEntry, "refuse", 0, "", aText);
-    mOut.mOrders.emplace_back(
-      refuse_request{ aEntry.mRequest.mAttempt, aReason, SpreadRetryAfter(mCell, aDrain) });
+    AppendDecision(mOut, aEntry, "refuse", 0, "", aText);
+    mOut.mOrders.emplace_back(refuse_request{
+      aEntry.mRequest.mAttempt, aReason, JitteredRetryAfter(mCell, aPredictedWait) });
   }
 
-  void LeavePrefill(request_entry& aRequest)
+  void ReleasePrefillEngine(request_entry& aRequest)
   {
     if (engine_entry* const engine = mCell.FindEngine(aRequest.mPrefill)) {
-      engine->mWork.erase(aRequest.mRequest.mAttempt);
+      engine->mActiveAttempts.erase(aRequest.mRequest.mAttempt);
     }
     aRequest.mPrefill = {};
   }
 
-  void ReturnToReady(request_entry& aRequest)
+  void AbortTransfer(request_entry& aRequest)
   {
     if (engine_entry* const engine = mCell.FindEngine(aRequest.mDecode)) {
-      engine->mWork.erase(aRequest.mRequest.mAttempt);
+      engine->mActiveAttempts.erase(aRequest.mRequest.mAttempt);
     }
-    DropChunks(mCell, aRequest);
+    DropInFlightChunks(mCell, aRequest);
     aRequest.mDecode = {};
-    aRequest.mSentBytes = 0;
+    aRequest.mScheduledBytes = 0;
     aRequest.mStage = request_stage::eReady;
   }
 
   /** Takes the oldest piece of an attempt off the link, and measures the rate by whole pieces. */
-  void MeasureLink(const attempt_id& aAttempt)
+  void CompleteOldestChunk(const attempt_id& aAttempt)
   {
     const auto chunk =
-      std::find_if(mCell.mChunks.begin(), mCell.mChunks.end(), [&](const chunk_entry& aChunk) {
-        return aChunk.mAttempt == aAttempt;
-      });
-    const double seconds = ToSeconds(mCell.mNow - std::max(chunk->mStarted, mCell.mLastChunk));
+      std::find_if(mCell.mInFlightChunks.begin(),
+                   mCell.mInFlightChunks.end(),
+                   [&](const in_flight_chunk& aChunk) { return aChunk.mAttempt == aAttempt; });
+    const double seconds =
+      ToSeconds(mCell.mNow - std::max(chunk->mStarted, mCell.mLastChunkFinished));
     if (chunk->mBytes == mCell.mSettings.mLink.mChunkBytes && seconds > 0.0) {
       const double rate = static_cast<double>(chunk->mBytes) / seconds;
       double& mean = mCell.mLinkRate;
-      mean = mean == 0.0 ? rate : mean + kStatsWeight * (rate - mean);
+      mean = mean == 0.0 ? rate : mean + kSmoothingFactor * (rate - mean);
     }
-    mCell.mLastChunk = mCell.mNow;
-    mCell.mChunks.erase(chunk);
+    mCell.mLastChunkFinished = mCell.mNow;
+    mCell.mInFlightChunks.erase(chunk);
   }
 
-  void NoteService(const request_entry& aRequest)
+  void UpdateServiceTime(const request_entry& aRequest)
   {
     double& mean = mCell.mStats[aRequest.mRequest.mClass].mServiceSeconds;
-    const double seconds = ToSeconds(mCell.mNow - aRequest.mSlotSince);
-    mean = mean == 0.0 ? seconds : mean + kStatsWeight * (seconds - mean);
+    const double seconds = ToSeconds(mCell.mNow - aRequest.mSlotTakenAt);
+    mean = mean == 0.0 ? seconds : mean + kSmoothingFactor * (seconds - mean);
   }
 
   void Cancel(request_entry& aRequest)
@@ -301,7 +302,7 @@
     if (aRequest.mStage >= request_stage::eReady) {
       mCell.mCounters.mCancelledTokens += aRequest.mUncachedTokens;
     }
-    OrderCancels(aRequest, mOut);
+    CancelEngineWork(aRequest, mOut);
     ReleaseEngines(mCell, aRequest);
   }
 
--- a/src/decide/event_type.h
+++ b/src/decide/event_type.h
@@ -81,35 +81,35 @@
 };
 
 /** A runner is in the host list, or what is known of it changed. */
-struct engine_seen
+struct engine_updated
 {
   engine_info mInfo; ///< What is known.
 
-  auto operator<=>(const engine_seen&) const = default;
+  auto operator<=>(const engine_updated&) const = default;
 };
 
 /** A runner is no longer in the host list. */
-struct engine_gone
+struct engine_removed
 {
   engine_id mEngine; ///< The runner.
 
-  auto operator<=>(const engine_gone&) const = default;
+  auto operator<=>(const engine_removed&) const = default;
 };
 
 /** An engine can't be reached. */
-struct engine_silent
+struct engine_unreachable
 {
   engine_id mEngine; ///< The runner.
 
-  auto operator<=>(const engine_silent&) const = default;
+  auto operator<=>(const engine_unreachable&) const = default;
 };
 
 /** An engine's report of its load; it lags. */
 struct load_reported
 {
-  engine_id mEngine;          ///< The engine.
-  std::uint32_t mHeld = 0;    ///< Slots held by anybody.
-  std::uint32_t mForeign = 0; ///< Slots held by requests that this core doesn't know.
+  engine_id mEngine;             ///< The engine.
+  std::uint32_t mHeldSlots = 0;  ///< Slots held by anybody.
+  std::uint32_t mOtherSlots = 0; ///< Slots held by requests that this core doesn't know.
 
   auto operator<=>(const load_reported&) const = default;
 };
@@ -125,19 +125,19 @@
 };
 
 /** A daemon run has ended; nobody waits for its requests. */
-struct incarnation_gone
+struct incarnation_ended
 {
   incarnation_id mIncarnation; ///< The run.
 
-  auto operator<=>(const incarnation_gone&) const = default;
+  auto operator<=>(const incarnation_ended&) const = default;
 };
 
 /** The cell's settings changed. */
-struct cell_changed
+struct cell_settings_changed
 {
   cell_settings mSettings; ///< The new settings.
 
-  auto operator<=>(const cell_changed&) const = default;
+  auto operator<=>(const cell_settings_changed&) const = default;
 };
 
 using decide_event = std::variant<request_arrived,
@@ -147,12 +147,12 @@
                                   stream_finished,
                                   work_failed,
                                   request_cancelled,
-                                  engine_seen,
-                                  engine_gone,
-                                  engine_silent,
+                                  engine_updated,
+                                  engine_removed,
+                                  engine_unreachable,
                                   load_reported,
                                   cache_changed,
-                                  incarnation_gone,
-                                  cell_changed>;
+                                  incarnation_ended,
+                                  cell_settings_changed>;
 
 } // namespace dunehook
--- a/src/decide/forecast.cpp
+++ b/src/decide/forecast.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /** Share of the between-tokens target that a step takes until an answer was measured. */
-constexpr double kAssumedStepShare = 0.7;
+constexpr double kAssumedStepFraction = 0.7;
 
 /** Work of the cell that a newcomer of some rank has to wait for. */
 struct work_ahead
@@ -33,7 +33,7 @@
 }
 
 work_ahead
-MeasureWorkAhead(const cell_state& aCell, std::int64_t aRank, double aPrefillRate)
+SumWorkAhead(const cell_state& aCell, std::int64_t aRank, double aPrefillRate)
 {
   work_ahead ahead;
   for (const auto& [attempt, request] : aCell.mRequests) {
@@ -64,7 +64,7 @@
   const std::uint32_t tokens = aRequest.mMaxTokens == 0
                                  ? aRequest.mTargets.mMeanTokens
                                  : std::min(aRequest.mMaxTokens, aRequest.mTargets.mMeanTokens);
-  return tokens * kAssumedStepShare * aRequest.mTargets.mBetweenTokensMs / 1000.0;
+  return tokens * kAssumedStepFraction * aRequest.mTargets.mBetweenTokensMs / 1000.0;
 }
 
 slot_supply
@@ -76,7 +76,7 @@
     if (engine.mInfo.mRole == runner_role::eDecode && engine.TakesWork(aCell.mNow)) {
       supply.mFree += engine.FreeSlots();
       supply.mTotal += engine.mInfo.mSlots;
-      foreign += engine.mForeign;
+      foreign += engine.mOtherSlots;
     }
   }
   std::uint32_t known = 0;
@@ -96,7 +96,7 @@
 PrefillBacklog(const cell_state& aCell, const engine_entry& aEngine, std::int64_t aRank)
 {
   duration backlog{ 0 };
-  for (const attempt_id& attempt : aEngine.mWork) {
+  for (const attempt_id& attempt : aEngine.mActiveAttempts) {
     const auto found = aCell.mRequests.find(attempt);
     if (found == aCell.mRequests.end() || found->second.mStage != request_stage::ePrefilling ||
         found->second.EffectiveRank() > aRank) {
@@ -104,7 +104,7 @@
     }
     const duration work =
       FromSeconds(found->second.mUncachedTokens / aEngine.mInfo.mTokensPerSecond);
-    const duration left = std::max(duration{ 0 }, found->second.mReadyAt - aCell.mNow);
+    const duration left = std::max(duration{ 0 }, found->second.mPrefillEnd - aCell.mNow);
     backlog += std::min(work, left);
   }
   return backlog;
@@ -146,7 +146,7 @@
       continue;
     }
     const bool known = request.mStage >= request_stage::eReady;
-    const double size = known ? static_cast<double>(request.mKvBytes - request.mSentBytes)
+    const double size = known ? static_cast<double>(request.mKvBytes - request.mScheduledBytes)
                               : static_cast<double>(request.mRequest.mPromptTokens) *
                                   static_cast<double>(aCell.mSettings.mKvBytesPerToken);
     bytes += size;
@@ -158,7 +158,7 @@
 ForecastWait(const cell_state& aCell, const request_arrived& aRequest)
 {
   const double prefillRate = PrefillRate(aCell);
-  const work_ahead ahead = MeasureWorkAhead(aCell, aRequest.mTargets.mRank, prefillRate);
+  const work_ahead ahead = SumWorkAhead(aCell, aRequest.mTargets.mRank, prefillRate);
   const slot_supply supply = ForecastSlots(aCell);
   double slotWait = 0.0;
   const double missing = ahead.mSlotDemand + 1.0 - supply.mFree;
--- a/src/decide/placement_core.h
+++ b/src/decide/placement_core.h
@@ -57,8 +57,8 @@
     AgeRequests(mCell);
     ExpireRequests(mCell, aOut);
     StartPrefills(mCell, mChooser, aOut);
-    BindDecodes(mCell, mChooser, aOut);
-    ScheduleLink(mCell, aOut);
+    AssignDecodeEngines(mCell, mChooser, aOut);
+    ScheduleTransfers(mCell, aOut);
   }
 
   cell_state mCell; ///< The tables.
--- a/src/decide/prefix_index.cpp
+++ b/src/decide/prefix_index.cpp
@@ -16,32 +16,32 @@
 } // namespace
 
 void
-prefix_index::NotePresent(engine_id aEngine, std::uint64_t aHash, instant aNow)
+prefix_index::RecordCached(engine_id aEngine, std::uint64_t aHash, instant aNow)
 {
   engine_hints& hints = mByEngine[aEngine];
-  const bool fresh = hints.mSeen.insert_or_assign(aHash, aNow).second;
+  const bool fresh = hints.mLastConfirmed.insert_or_assign(aHash, aNow).second;
   if (!fresh) {
     return;
   }
-  hints.mOrder.push_back(aHash);
-  if (hints.mOrder.size() > kMaxPerEngine) {
-    hints.mSeen.erase(hints.mOrder.front());
-    hints.mOrder.pop_front();
+  hints.mInsertionOrder.push_back(aHash);
+  if (hints.mInsertionOrder.size() > kMaxHintsPerEngine) {
+    hints.mLastConfirmed.erase(hints.mInsertionOrder.front());
+    hints.mInsertionOrder.pop_front();
   }
 }
 
 void
-prefix_index::NoteAbsent(engine_id aEngine, std::uint64_t aHash)
+prefix_index::RecordEvicted(engine_id aEngine, std::uint64_t aHash)
 {
   const auto found = mByEngine.find(aEngine);
-  if (found == mByEngine.end() || found->second.mSeen.erase(aHash) == 0) {
+  if (found == mByEngine.end() || found->second.mLastConfirmed.erase(aHash) == 0) {
     return;
   }
-  std::erase(found->second.mOrder, aHash);
+  std::erase(found->second.mInsertionOrder, aHash);
 }
 
 void
-prefix_index::Forget(engine_id aEngine)
+prefix_index::RemoveEngine(engine_id aEngine)
 {
   mByEngine.erase(aEngine);
 }
@@ -57,8 +57,8 @@
   }
   double best = 0.0;
   for (const prefix_block& block : aBlocks) {
-    const auto seen = found->second.mSeen.find(block.mHash);
-    if (seen == found->second.mSeen.end()) {
+    const auto seen = found->second.mLastConfirmed.find(block.mHash);
+    if (seen == found->second.mLastConfirmed.end()) {
       continue;
     }
     const double confidence = std::exp(-ToSeconds(aNow - seen->second) / kConfidenceDecaySeconds);
@@ -72,7 +72,7 @@
 {
   std::size_t size = 0;
   for (const auto& [engine, hints] : mByEngine) {
-    size += hints.mSeen.size();
+    size += hints.mLastConfirmed.size();
   }
   return size;
 }
--- a/src/decide/prefix_index.h
+++ b/src/decide/prefix_index.h
@@ -17,11 +17,11 @@
 {
 public:
   /** Notes that @p aEngine holds @p aHash now. */
-  void NotePresent(engine_id aEngine, std::uint64_t aHash, instant aNow);
+  void RecordCached(engine_id aEngine, std::uint64_t aHash, instant aNow);
   /** Notes that @p aEngine no longer holds @p aHash. */
-  void NoteAbsent(engine_id aEngine, std::uint64_t aHash);
+  void RecordEvicted(engine_id aEngine, std::uint64_t aHash);
   /** Forgets an engine. */
-  void Forget(engine_id aEngine);
+  void RemoveEngine(engine_id aEngine);
   /** @return prompt tokens expected in the engine's cache: tokens of the best block by confidence.
    */
   std::uint32_t ExpectedTokens(engine_id aEngine,
@@ -30,12 +30,13 @@
   std::size_t Size() const;
 
 private:
-  static constexpr std::size_t kMaxPerEngine = 4096; ///< Hints kept for one engine.
+  static constexpr std::size_t kMaxHintsPerEngine = 4096; ///< Hints kept for one engine.
   /** Hints of one engine. */
   struct engine_hints
   {
-    std::unordered_map<std::uint64_t, instant> mSeen; ///< When each prefix was last confirmed.
-    std::deque<std::uint64_t> mOrder;                 ///< Oldest first; may hold dropped ones.
+    std::unordered_map<std::uint64_t, instant>
+      mLastConfirmed;                          ///< When each prefix was last confirmed.
+    std::deque<std::uint64_t> mInsertionOrder; ///< Oldest first; may hold dropped ones.
   };
   std::unordered_map<engine_id, engine_hints> mByEngine; ///< Hints by engine.
 };
--- a/src/decide/request.cpp
+++ b/src/decide/request.cpp
@@ -12,12 +12,12 @@
 namespace dunehook {
 
 void
-Record(tick_result& aOut,
-       const request_entry& aRequest,
-       std::string_view aDecision,
-       std::size_t aCandidates,
-       std::string_view aChosen,
-       std::string_view aReason)
+AppendDecision(tick_result& aOut,
+               const request_entry& aRequest,
+               std::string_view aDecision,
+               std::size_t aCandidates,
+               std::string_view aChosen,
+               std::string_view aReason)
 {
   aOut.mRecords.push_back({ aRequest.mRequest.mAttempt,
                             aRequest.mRequest.mClass,
@@ -28,10 +28,10 @@
 }
 
 duration
-SpreadRetryAfter(cell_state& aCell, duration aDrain)
+JitteredRetryAfter(cell_state& aCell, duration aPredictedWait)
 {
-  constexpr duration kShortest = std::chrono::milliseconds(200);
-  const duration base = std::max(aDrain, kShortest);
+  constexpr duration kMinRetryAfter = std::chrono::milliseconds(200);
+  const duration base = std::max(aPredictedWait, kMinRetryAfter);
   std::uniform_int_distribution<std::int64_t> spread(0, base.count() / 2);
   return base + duration{ spread(aCell.mRandom) };
 }
@@ -41,23 +41,23 @@
 {
   for (const engine_id id : { aRequest.mPrefill, aRequest.mDecode }) {
     if (engine_entry* const engine = aCell.FindEngine(id)) {
-      engine->mWork.erase(aRequest.mRequest.mAttempt);
+      engine->mActiveAttempts.erase(aRequest.mRequest.mAttempt);
     }
   }
-  DropChunks(aCell, aRequest);
+  DropInFlightChunks(aCell, aRequest);
 }
 
 void
-DropChunks(cell_state& aCell, request_entry& aRequest)
+DropInFlightChunks(cell_state& aCell, request_entry& aRequest)
 {
-  std::erase_if(aCell.mChunks, [&](const chunk_entry& aChunk) {
+  std::erase_if(aCell.mInFlightChunks, [&](const in_flight_chunk& aChunk) {
     return aChunk.mAttempt == aRequest.mRequest.mAttempt;
   });
-  aRequest.mChunksUnderWay = 0;
+  aRequest.mInFlightChunkCount = 0;
 }
 
 void
-CountWaste(cell_state& aCell, const request_entry& aRequest)
+CountWastedTokens(cell_state& aCell, const request_entry& aRequest)
 {
   if (aRequest.mStage >= request_stage::eReady) {
     aCell.mCounters.mWastedTokens += aRequest.mUncachedTokens;
@@ -65,7 +65,7 @@
 }
 
 void
-OrderCancels(const request_entry& aRequest, tick_result& aOut)
+CancelEngineWork(const request_entry& aRequest, tick_result& aOut)
 {
   for (const engine_id id : { aRequest.mPrefill, aRequest.mDecode }) {
     if (id) {
@@ -78,13 +78,13 @@
 Refuse(cell_state& aCell, const attempt_id& aAttempt, std::string_view aReason, tick_result& aOut)
 {
   request_entry& request = *aCell.FindRequest(aAttempt);
-  Record(aOut, request, "refuse", 0, "", aReason);
-  CountWaste(aCell, request);
-  OrderCancels(request, aOut);
+  AppendDecision(aOut, request, "refuse", 0, "", aReason);
+  CountWastedTokens(aCell, request);
+  CancelEngineWork(request, aOut);
   ReleaseEngines(aCell, request);
   const duration drain = ForecastWait(aCell, request.mRequest).mWait;
   aOut.mOrders.emplace_back(
-    refuse_request{ aAttempt, errc::eOverloaded, SpreadRetryAfter(aCell, drain) });
+    refuse_request{ aAttempt, errc::eOverloaded, JitteredRetryAfter(aCell, drain) });
   ++aCell.mCounters.mRefused;
   aCell.mRequests.erase(aAttempt);
 }
@@ -100,22 +100,22 @@
     }
     aCell.mRetryCredit -= 1.0;
   }
-  CountWaste(aCell, request);
-  OrderCancels(request, aOut);
+  CountWastedTokens(aCell, request);
+  CancelEngineWork(request, aOut);
   ReleaseEngines(aCell, request);
-  Record(aOut, request, "requeue", 0, "", aReason);
+  AppendDecision(aOut, request, "requeue", 0, "", aReason);
   request.mStage = request_stage::eWaiting;
   request.mPrefill = {};
   request.mDecode = {};
   request.mKvBytes = 0;
-  request.mSentBytes = 0;
+  request.mScheduledBytes = 0;
   request.mUncachedTokens = request.mRequest.mPromptTokens;
-  ++request.mRepeats;
+  ++request.mRequeues;
   ++aCell.mCounters.mRequeued;
 }
 
 std::vector<attempt_id>
-InOrder(const cell_state& aCell, request_stage aStage)
+AttemptsInServiceOrder(const cell_state& aCell, request_stage aStage)
 {
   using sort_key = std::tuple<std::int64_t, instant, attempt_id>;
   std::vector<sort_key> keys;
--- a/src/decide/request_base.h
+++ b/src/decide/request_base.h
@@ -16,17 +16,17 @@
   request_arrived mRequest;                       ///< As it arrived.
   request_stage mStage = request_stage::eWaiting; ///< How far it has come.
   instant mArrived{ 0 };                          ///< When it came; kept over repeats.
-  engine_id mPrefill;                ///< Set from ePrefilling until the transfer is over.
-  engine_id mDecode;                 ///< Set from eTransferring.
-  instant mReadyAt{ 0 };             ///< Predicted, then actual end of the prefill.
-  instant mKvExpires{ 0 };           ///< End of the prefill result's life; from eReady.
-  instant mSlotSince{ 0 };           ///< When the decode slot was taken; from eTransferring.
-  std::uint32_t mUncachedTokens = 0; ///< Prompt tokens the engine is expected to compute.
-  std::uint64_t mKvBytes = 0;        ///< Size of the prefill result.
-  std::uint64_t mSentBytes = 0;      ///< Bytes of it ordered to move; at most mKvBytes.
-  std::uint32_t mChunksUnderWay = 0; ///< Pieces ordered and not finished.
-  std::uint32_t mRepeats = 0;        ///< Times it went back to the queue.
-  bool mAged = false;                ///< Goes before every rank; at most one request in a cell.
+  engine_id mPrefill;                    ///< Set from ePrefilling until the transfer is over.
+  engine_id mDecode;                     ///< Set from eTransferring.
+  instant mPrefillEnd{ 0 };              ///< Predicted, then actual end of the prefill.
+  instant mKvExpires{ 0 };               ///< End of the prefill result's life; from eReady.
+  instant mSlotTakenAt{ 0 };             ///< When the decode slot was taken; from eTransferring.
+  std::uint32_t mUncachedTokens = 0;     ///< Prompt tokens the engine is expected to compute.
+  std::uint64_t mKvBytes = 0;            ///< Size of the prefill result.
+  std::uint64_t mScheduledBytes = 0;     ///< Bytes of it ordered to move; at most mKvBytes.
+  std::uint32_t mInFlightChunkCount = 0; ///< Pieces ordered and not finished.
+  std::uint32_t mRequeues = 0;           ///< Times it went back to the queue.
+  bool mAged = false;                    ///< Goes before every rank; at most one request in a cell.
 
   /** @return the rank in force: aged requests go first. */
   std::int64_t EffectiveRank() const
--- a/src/decide/request_func.h
+++ b/src/decide/request_func.h
@@ -12,22 +12,22 @@
 namespace dunehook {
 
 /** An engine that refused gets no new work for this long. */
-inline constexpr duration kRefusedTime = std::chrono::milliseconds(100);
+inline constexpr duration kRefusalBackoff = std::chrono::milliseconds(100);
 /** An engine that failed gets no new work for this long. */
-inline constexpr duration kFailedTime = std::chrono::seconds(1);
+inline constexpr duration kFailureBackoff = std::chrono::seconds(1);
 
 /** Adds a decision record. */
 void
-Record(tick_result& aOut,
-       const request_entry& aRequest,
-       std::string_view aDecision,
-       std::size_t aCandidates,
-       std::string_view aChosen,
-       std::string_view aReason);
+AppendDecision(tick_result& aOut,
+               const request_entry& aRequest,
+               std::string_view aDecision,
+               std::size_t aCandidates,
+               std::string_view aChosen,
+               std::string_view aReason);
 
 /** @return when a refused caller may come back: the predicted drain, spread by up to a half. */
 duration
-SpreadRetryAfter(cell_state& aCell, duration aDrain);
+JitteredRetryAfter(cell_state& aCell, duration aPredictedWait);
 
 /** Removes a request from the engines' tables. */
 void
@@ -35,15 +35,15 @@
 
 /** Forgets the pieces of a request's transfer that are on the link. */
 void
-DropChunks(cell_state& aCell, request_entry& aRequest);
+DropInFlightChunks(cell_state& aCell, request_entry& aRequest);
 
 /** Counts the prompt tokens computed for a request as wasted, if there are any. */
 void
-CountWaste(cell_state& aCell, const request_entry& aRequest);
+CountWastedTokens(cell_state& aCell, const request_entry& aRequest);
 
 /** Orders the engines to free what they hold for a request. */
 void
-OrderCancels(const request_entry& aRequest, tick_result& aOut);
+CancelEngineWork(const request_entry& aRequest, tick_result& aOut);
 
 /** Refuses a request and removes it. */
 void
@@ -55,9 +55,9 @@
 
 /**
  * @return attempts at the given stage, in the order in which they go: rank, then arrival; prefill
- * results that wait for a slot go by the end of their lives, since each was promised one.
+ * results that wait for a slot go by the end of their lives, since each was capacityExpected one.
  */
 std::vector<attempt_id>
-InOrder(const cell_state& aCell, request_stage aStage);
+AttemptsInServiceOrder(const cell_state& aCell, request_stage aStage);
 
 } // namespace dunehook
--- a/src/decide/system.cpp
+++ b/src/decide/system.cpp
@@ -35,7 +35,7 @@
 void
 ExpireRequests(cell_state& aCell, tick_result& aOut)
 {
-  for (const attempt_id& attempt : InOrder(aCell, request_stage::eWaiting)) {
+  for (const attempt_id& attempt : AttemptsInServiceOrder(aCell, request_stage::eWaiting)) {
     const request_entry& request = *aCell.FindRequest(attempt);
     const priority_class_spec& targets = request.mRequest.mTargets;
     const duration needed =
@@ -45,7 +45,7 @@
       Refuse(aCell, attempt, "first token can't be in time", aOut);
     }
   }
-  for (const attempt_id& attempt : InOrder(aCell, request_stage::eReady)) {
+  for (const attempt_id& attempt : AttemptsInServiceOrder(aCell, request_stage::eReady)) {
     if (aCell.mNow >= aCell.FindRequest(attempt)->mKvExpires) {
       Requeue(aCell, attempt, "prefill result lost", aOut);
     }
@@ -53,14 +53,14 @@
 }
 
 bool
-CanPromiseSlot(const cell_state& aCell, instant aReadyAt)
+ExpectsFreeSlot(const cell_state& aCell, instant aPrefillEnd)
 {
   const slot_supply supply = ForecastSlots(aCell);
-  const instant until = aReadyAt + kPromiseSlack;
+  const instant until = aPrefillEnd + kCapacityWaitTolerance;
   std::uint32_t demand = 1;
   for (const auto& [attempt, request] : aCell.mRequests) {
     const bool prefilling =
-      request.mStage == request_stage::ePrefilling && request.mReadyAt <= aReadyAt;
+      request.mStage == request_stage::ePrefilling && request.mPrefillEnd <= aPrefillEnd;
     if (prefilling || request.mStage == request_stage::eReady) {
       ++demand;
     }
@@ -70,19 +70,19 @@
 }
 
 bool
-CanPromiseLink(const cell_state& aCell, const request_entry& aRequest, instant aReadyAt)
+ExpectsFreeLink(const cell_state& aCell, const request_entry& aRequest, instant aPrefillEnd)
 {
   const duration busy =
     LinkBacklog(aCell, aRequest.mRequest.mTargets.mRank, request_stage::ePrefilling);
-  return aCell.mNow + busy <= aReadyAt + kPromiseSlack;
+  return aCell.mNow + busy <= aPrefillEnd + kCapacityWaitTolerance;
 }
 
 bool
-LinkTakesMore(const cell_state& aCell, const request_entry& aRequest)
+LinkQueueHasRoom(const cell_state& aCell, const request_entry& aRequest)
 {
   const duration busy =
     LinkBacklog(aCell, aRequest.mRequest.mTargets.mRank, request_stage::eTransferring);
-  return busy <= kLinkQueue;
+  return busy <= kMaxLinkQueueTime;
 }
 
 std::vector<const engine_entry*>
@@ -94,14 +94,14 @@
       continue;
     }
     std::size_t sameRank = 0;
-    for (const attempt_id& attempt : engine.mWork) {
+    for (const attempt_id& attempt : engine.mActiveAttempts) {
       const auto found = aCell.mRequests.find(attempt);
       if (found != aCell.mRequests.end() && found->second.mStage == request_stage::ePrefilling &&
           found->second.mRequest.mTargets.mRank == aRequest.mRequest.mTargets.mRank) {
         ++sameRank;
       }
     }
-    if (sameRank < kPrefillDepth) {
+    if (sameRank < kMaxPrefillsPerRank) {
       candidates.push_back(&engine);
     }
   }
@@ -120,16 +120,16 @@
     ToSeconds(PrefillTime(aCell, aEngine, aRequest.mRequest)) * aEngine.mInfo.mTokensPerSecond);
   aRequest.mStage = request_stage::ePrefilling;
   aRequest.mPrefill = aEngine.mInfo.mId;
-  aCell.FindEngine(aEngine.mInfo.mId)->mWork.insert(attempt);
+  aCell.FindEngine(aEngine.mInfo.mId)->mActiveAttempts.insert(attempt);
   const std::uint32_t priority = aRequest.mAged ? 0 : aRequest.mRequest.mTargets.mRank;
   aOut.mOrders.emplace_back(start_prefill{ attempt, aEngine.mInfo.mId, priority });
-  Record(aOut,
-         aRequest,
-         "prefill",
-         aCandidates,
-         aEngine.mInfo.mName,
-         aRequest.mUncachedTokens < aRequest.mRequest.mPromptTokens ? "cached prefix"
-                                                                    : "read soonest");
+  AppendDecision(aOut,
+                 aRequest,
+                 "prefill",
+                 aCandidates,
+                 aEngine.mInfo.mName,
+                 aRequest.mUncachedTokens < aRequest.mRequest.mPromptTokens ? "cached prefix"
+                                                                            : "read soonest");
 }
 
 std::vector<const engine_entry*>
@@ -154,29 +154,29 @@
 {
   aRequest.mStage = request_stage::eTransferring;
   aRequest.mDecode = aEngine.mInfo.mId;
-  aRequest.mSlotSince = aCell.mNow;
-  Record(aOut, aRequest, "decode", aCandidates, aEngine.mInfo.mName, "most free slots");
-  aCell.FindEngine(aEngine.mInfo.mId)->mWork.insert(aRequest.mRequest.mAttempt);
+  aRequest.mSlotTakenAt = aCell.mNow;
+  AppendDecision(aOut, aRequest, "decode", aCandidates, aEngine.mInfo.mName, "most free slots");
+  aCell.FindEngine(aEngine.mInfo.mId)->mActiveAttempts.insert(aRequest.mRequest.mAttempt);
 }
 
 void
-ScheduleLink(cell_state& aCell, tick_result& aOut)
+ScheduleTransfers(cell_state& aCell, tick_result& aOut)
 {
   const bool chunked = aCell.mSettings.mSwitches.mChunkedTransfers;
-  for (const attempt_id& attempt : InOrder(aCell, request_stage::eTransferring)) {
+  for (const attempt_id& attempt : AttemptsInServiceOrder(aCell, request_stage::eTransferring)) {
     request_entry& request = *aCell.FindRequest(attempt);
-    while (request.mSentBytes < request.mKvBytes) {
-      if (aCell.mChunks.size() >= kLinkDepth) {
+    while (request.mScheduledBytes < request.mKvBytes) {
+      if (aCell.mInFlightChunks.size() >= kMaxInFlightChunks) {
         return;
       }
-      const std::uint64_t left = request.mKvBytes - request.mSentBytes;
+      const std::uint64_t left = request.mKvBytes - request.mScheduledBytes;
       const std::uint64_t bytes =
         chunked ? std::min(left, aCell.mSettings.mLink.mChunkBytes) : left;
       aOut.mOrders.emplace_back(
-        start_chunk{ attempt, request.mDecode, request.mSentBytes, bytes, bytes == left });
-      request.mSentBytes += bytes;
-      ++request.mChunksUnderWay;
-      aCell.mChunks.push_back({ attempt, bytes, aCell.mNow });
+        start_chunk{ attempt, request.mDecode, request.mScheduledBytes, bytes, bytes == left });
+      request.mScheduledBytes += bytes;
+      ++request.mInFlightChunkCount;
+      aCell.mInFlightChunks.push_back({ attempt, bytes, aCell.mNow });
     }
   }
 }
--- a/src/decide/system_func.h
+++ b/src/decide/system_func.h
@@ -12,13 +12,13 @@
 namespace dunehook {
 
 /** Work of one rank that a prefill engine is given at once: one under way and one behind it. */
-inline constexpr std::size_t kPrefillDepth = 2;
+inline constexpr std::size_t kMaxPrefillsPerRank = 2;
 /** Pieces on a link at once: one moving and one that hides the round trip. */
-inline constexpr std::size_t kLinkDepth = 2;
+inline constexpr std::size_t kMaxInFlightChunks = 2;
 /** Transfers that hold slots while they wait for the link may add up to this. */
-inline constexpr duration kLinkQueue = std::chrono::milliseconds(30);
-/** Time between the predicted end of a prefill and that of its promised slot. */
-inline constexpr duration kPromiseSlack = std::chrono::milliseconds(100);
+inline constexpr duration kMaxLinkQueueTime = std::chrono::milliseconds(30);
+/** Time between the predicted end of a prefill and that of its capacityExpected slot. */
+inline constexpr duration kCapacityWaitTolerance = std::chrono::milliseconds(100);
 
 /**
  * System 1: the request that has waited longest beyond what its class allows goes before every
@@ -31,17 +31,18 @@
 void
 ExpireRequests(cell_state& aCell, tick_result& aOut);
 
-/** @return whether a decode slot can be promised for the end of a prefill at @p aReadyAt. */
+/** @return whether a decode slot can be capacityExpected for the end of a prefill at @p
+ * aPrefillEnd. */
 bool
-CanPromiseSlot(const cell_state& aCell, instant aReadyAt);
+ExpectsFreeSlot(const cell_state& aCell, instant aPrefillEnd);
 
-/** @return whether the link can be promised for the end of a prefill at @p aReadyAt. */
+/** @return whether the link can be capacityExpected for the end of a prefill at @p aPrefillEnd. */
 bool
-CanPromiseLink(const cell_state& aCell, const request_entry& aRequest, instant aReadyAt);
+ExpectsFreeLink(const cell_state& aCell, const request_entry& aRequest, instant aPrefillEnd);
 
 /** @return whether the link is free enough for another transfer to take a slot for it. */
 bool
-LinkTakesMore(const cell_state& aCell, const request_entry& aRequest);
+LinkQueueHasRoom(const cell_state& aCell, const request_entry& aRequest);
 
 /** @return prefill engines that can be given the request now. */
 std::vector<const engine_entry*>
@@ -67,12 +68,12 @@
               std::size_t aCandidates,
               tick_result& aOut);
 
-/** System 3: starts prefills for waiting requests whose decode slot can be promised. */
+/** System 3: starts prefills for waiting requests whose decode slot can be capacityExpected. */
 template<engine_chooser Chooser>
 void
 StartPrefills(cell_state& aCell, Chooser& aChooser, tick_result& aOut)
 {
-  for (const attempt_id& attempt : InOrder(aCell, request_stage::eWaiting)) {
+  for (const attempt_id& attempt : AttemptsInServiceOrder(aCell, request_stage::eWaiting)) {
     request_entry& request = *aCell.FindRequest(attempt);
     const auto candidates = PrefillCandidates(aCell, request);
     if (candidates.empty()) {
@@ -81,12 +82,13 @@
     const engine_entry* const engine = aChooser.ChoosePrefill(aCell, request, candidates);
     const duration work = PrefillBacklog(aCell, *engine, request.EffectiveRank()) +
                           PrefillTime(aCell, *engine, request.mRequest);
-    const instant readyAt = aCell.mNow + work;
-    const bool promised = CanPromiseSlot(aCell, readyAt) && CanPromiseLink(aCell, request, readyAt);
-    if (aCell.mSettings.mSwitches.mDecodePromise && !promised) {
+    const instant prefillEnd = aCell.mNow + work;
+    const bool capacityExpected =
+      ExpectsFreeSlot(aCell, prefillEnd) && ExpectsFreeLink(aCell, request, prefillEnd);
+    if (aCell.mSettings.mSwitches.mDecodeSlotGating && !capacityExpected) {
       continue;
     }
-    request.mReadyAt = readyAt;
+    request.mPrefillEnd = prefillEnd;
     BeginPrefill(aCell, request, *engine, candidates.size(), aOut);
   }
 }
@@ -94,15 +96,15 @@
 /** System 4: gives free decode slots to prefill results that wait. */
 template<engine_chooser Chooser>
 void
-BindDecodes(cell_state& aCell, Chooser& aChooser, tick_result& aOut)
+AssignDecodeEngines(cell_state& aCell, Chooser& aChooser, tick_result& aOut)
 {
-  for (const attempt_id& attempt : InOrder(aCell, request_stage::eReady)) {
+  for (const attempt_id& attempt : AttemptsInServiceOrder(aCell, request_stage::eReady)) {
     request_entry& request = *aCell.FindRequest(attempt);
     const auto candidates = DecodeCandidates(aCell);
     if (candidates.empty()) {
       return;
     }
-    if (!LinkTakesMore(aCell, request)) {
+    if (!LinkQueueHasRoom(aCell, request)) {
       continue;
     }
     const engine_entry* const engine = aChooser.ChooseDecode(aCell, request, candidates);
@@ -112,6 +114,6 @@
 
 /** System 5: puts pieces of transfers on the link, by rank and age. */
 void
-ScheduleLink(cell_state& aCell, tick_result& aOut);
+ScheduleTransfers(cell_state& aCell, tick_result& aOut);
 
 } // namespace dunehook
--- a/tests/support/session_script.cpp
+++ b/tests/support/session_script.cpp
@@ -23,12 +23,12 @@
 class replay
 {
 public:
-  void TakeLine(const json& aLine)
+  void HandleLine(const json& aLine)
   {
     const instant now = std::chrono::milliseconds(aLine.value("at", std::int64_t{ 0 }));
-    while (mNext < now) {
-      Print(mCore.Tick(mNext), mNext);
-      mNext += std::chrono::milliseconds(10);
+    while (mNextTick < now) {
+      Print(mCore.Tick(mNextTick), mNextTick);
+      mNextTick += std::chrono::milliseconds(10);
     }
     if (aLine.contains("class_targets")) {
       ReadTargets(aLine["class_targets"]);
@@ -67,12 +67,12 @@
     const auto type = aLine.at("event").get<std::string>();
     if (type == "engine") {
       const bool prefill = aLine.at("role") == "prefill";
-      return engine_seen{ { Engine(aLine),
-                            aLine.at("engine").get<std::string>(),
-                            prefill ? runner_role::ePrefill : runner_role::eDecode,
-                            aLine.value("slots", 20U),
-                            aLine.value("rate", 8000.0),
-                            aLine.value("leaving", false) } };
+      return engine_updated{ { Engine(aLine),
+                               aLine.at("engine").get<std::string>(),
+                               prefill ? runner_role::ePrefill : runner_role::eDecode,
+                               aLine.value("slots", 20U),
+                               aLine.value("rate", 8000.0),
+                               aLine.value("leaving", false) } };
     }
     if (type == "arrived") {
       request_arrived arrived{ Attempt(aLine),
@@ -108,10 +108,10 @@
       return request_cancelled{ Attempt(aLine) };
     }
     if (type == "daemon_gone") {
-      return incarnation_gone{ { aLine.value("daemon", std::uint64_t{ 1 }) } };
+      return incarnation_ended{ { aLine.value("daemon", std::uint64_t{ 1 }) } };
     }
     if (type == "gone") {
-      return engine_gone{ Engine(aLine) };
+      return engine_removed{ Engine(aLine) };
     }
     throw std::runtime_error("unknown event " + type);
   }
@@ -130,7 +130,7 @@
   placement_core<cost_chooser> mCore{ cell_settings{}, 7 }; ///< Decides.
   std::map<std::string, priority_class_spec> mTargets;      ///< Classes of the script.
   std::map<std::string, engine_id> mEngines;                ///< Ids by name, counted from 1.
-  instant mNext{ 0 };                                       ///< The next tick.
+  instant mNextTick{ 0 };                                   ///< The next tick.
 };
 
 } // namespace
@@ -142,7 +142,7 @@
   std::istringstream lines(aScript);
   for (std::string line; std::getline(lines, line);) {
     if (!line.empty() && line.front() != '#') {
-      session.TakeLine(json::parse(line));
+      session.HandleLine(json::parse(line));
     }
   }
   return session.mOut;
--- a/tests/unit/decide_test.cpp
+++ b/tests/unit/decide_test.cpp
@@ -17,7 +17,7 @@
 constexpr engine_id kOtherDecode{ 12 };
 
 priority_class_spec
-Practice()
+InteractiveTargets()
 {
   priority_class_spec spec;
   spec.mMeanTokens = 60;
@@ -25,7 +25,7 @@
 }
 
 priority_class_spec
-Placement()
+BatchTargets()
 {
   priority_class_spec spec;
   spec.mRank = 1;
@@ -36,18 +36,18 @@
 }
 
 /** A core with engines, driven by short calls. */
-struct bench
+struct cell_fixture
 {
-  explicit bench(std::uint32_t aSlots = 2, const cell_settings& aSettings = {})
+  explicit cell_fixture(std::uint32_t aSlots = 2, const cell_settings& aSettings = {})
     : mCore(aSettings)
   {
-    See({ kPrefill, "p1", runner_role::ePrefill });
-    See({ kDecode, "d1", runner_role::eDecode, aSlots });
+    UpdateEngine({ kPrefill, "p1", runner_role::ePrefill });
+    UpdateEngine({ kDecode, "d1", runner_role::eDecode, aSlots });
   }
-  void See(const engine_info& aInfo) { mCore.Handle(engine_seen{ aInfo }, mNow); }
+  void UpdateEngine(const engine_info& aInfo) { mCore.Handle(engine_updated{ aInfo }, mNow); }
   tick_result Arrive(std::uint64_t aRequest,
                      std::uint32_t aPrompt = 200,
-                     const priority_class_spec& aTargets = Practice(),
+                     const priority_class_spec& aTargets = InteractiveTargets(),
                      std::vector<prefix_block> aBlocks = {})
   {
     const std::string name = aTargets.mRank == 0 ? "practice" : "placement";
@@ -55,20 +55,20 @@
       request_arrived{ Attempt(aRequest), name, aTargets, aPrompt, 60, std::move(aBlocks) }, mNow);
   }
   static attempt_id Attempt(std::uint64_t aRequest) { return { { 9 }, aRequest }; }
-  tick_result Prefilled(std::uint64_t aRequest, std::uint64_t aBytes = 1000)
+  tick_result FinishPrefill(std::uint64_t aRequest, std::uint64_t aBytes = 1000)
   {
     return mCore.Handle(prefill_finished{ Attempt(aRequest), aBytes, 0 }, mNow);
   }
-  tick_result Chunk(std::uint64_t aRequest)
+  tick_result FinishChunk(std::uint64_t aRequest)
   {
     return mCore.Handle(chunk_finished{ Attempt(aRequest) }, mNow);
   }
   /** Brings a request up to decoding. */
-  void Decode(std::uint64_t aRequest)
+  void AdvanceToDecoding(std::uint64_t aRequest)
   {
     Arrive(aRequest);
-    Prefilled(aRequest);
-    Chunk(aRequest);
+    FinishPrefill(aRequest);
+    FinishChunk(aRequest);
   }
   placement_core<cost_chooser> mCore; ///< Decides.
   instant mNow{ 1s };                 ///< Virtual time.
@@ -104,43 +104,43 @@
 
 TEST(decide, ARequestGoesThroughPrefillTransferAndDecode)
 {
-  bench cell;
+  cell_fixture cell;
   CHECK_TRUE(First<start_prefill>(cell.Arrive(1)).mEngine == kPrefill);
-  const auto chunk = First<start_chunk>(cell.Prefilled(1));
+  const auto chunk = First<start_chunk>(cell.FinishPrefill(1));
   CHECK_TRUE(chunk.mEngine == kDecode);
   CHECK_TRUE(chunk.mLast);
-  cell.Chunk(1);
-  cell.mCore.Handle(stream_finished{ bench::Attempt(1), 60 }, cell.mNow + 3s);
+  cell.FinishChunk(1);
+  cell.mCore.Handle(stream_finished{ cell_fixture::Attempt(1), 60 }, cell.mNow + 3s);
   LONGS_EQUAL(1, cell.mCore.State().mCounters.mFinished);
   LONGS_EQUAL(0, cell.mCore.State().mRequests.size());
 }
 
 TEST(decide, NoPrefillStartsWithoutASlotExpectedAtItsEnd)
 {
-  bench cell(2);
-  cell.Decode(1);
-  cell.Decode(2);
+  cell_fixture cell(2);
+  cell.AdvanceToDecoding(1);
+  cell.AdvanceToDecoding(2);
   LONGS_EQUAL(0, Count<start_prefill>(cell.Arrive(3)));
-  const auto freed = cell.mCore.Handle(stream_finished{ bench::Attempt(1), 60 }, cell.mNow);
+  const auto freed = cell.mCore.Handle(stream_finished{ cell_fixture::Attempt(1), 60 }, cell.mNow);
   LONGS_EQUAL(1, Count<start_prefill>(freed) + Count<start_prefill>(cell.Arrive(4)));
 }
 
-TEST(decide, WithoutThePromisePrefillsStartAtOnce)
+TEST(decide, WithSlotGatingOffPrefillsStartAtOnce)
 {
   cell_settings settings;
-  settings.mSwitches.mDecodePromise = false;
+  settings.mSwitches.mDecodeSlotGating = false;
   settings.mSwitches.mAdmission = false;
-  bench cell(2, settings);
-  cell.Decode(1);
-  cell.Decode(2);
+  cell_fixture cell(2, settings);
+  cell.AdvanceToDecoding(1);
+  cell.AdvanceToDecoding(2);
   LONGS_EQUAL(1, Count<start_prefill>(cell.Arrive(3)));
 }
 
-TEST(decide, ARequestThatWouldWaitTooLongIsRefusedAtOnceWithATimeToComeBack)
+TEST(decide, ARequestThatWouldWaitTooLongIsRefusedAtOnceWithARetryAfter)
 {
-  bench cell(2);
-  cell.Decode(1);
-  cell.Decode(2);
+  cell_fixture cell(2);
+  cell.AdvanceToDecoding(1);
+  cell.AdvanceToDecoding(2);
   tick_result last;
   for (std::uint64_t request = 3; request < 12; ++request) {
     last = cell.Arrive(request);
@@ -154,64 +154,64 @@
 {
   cell_settings settings;
   settings.mSwitches.mAdmission = false;
-  bench cell(1, settings);
+  cell_fixture cell(1, settings);
   cell.Arrive(1);
   for (int repeat = 0; repeat < 10; ++repeat) {
     const auto failed =
-      cell.mCore.Handle(work_failed{ bench::Attempt(1), kPrefill, false, true }, cell.mNow);
+      cell.mCore.Handle(work_failed{ cell_fixture::Attempt(1), kPrefill, false, true }, cell.mNow);
     LONGS_EQUAL(0, Count<refuse_request>(failed));
     cell.mNow += 1100ms;
     LONGS_EQUAL(1, Count<start_prefill>(cell.mCore.Tick(cell.mNow)));
   }
   const auto last =
-    cell.mCore.Handle(work_failed{ bench::Attempt(1), kPrefill, false, true }, cell.mNow);
+    cell.mCore.Handle(work_failed{ cell_fixture::Attempt(1), kPrefill, false, true }, cell.mNow);
   LONGS_EQUAL(1, Count<refuse_request>(last));
 }
 
-TEST(decide, PracticeTurnsGoFirstButAnAgedReviewGoesBeforeThem)
+TEST(decide, AnAgedRequestGoesBeforeARequestOfAnEarlierRank)
 {
   cell_settings settings;
   settings.mSwitches.mAging = true;
-  bench cell(1, settings);
-  cell.Decode(1);
-  cell.Arrive(2, 6000, Placement());
+  cell_fixture cell(1, settings);
+  cell.AdvanceToDecoding(1);
+  cell.Arrive(2, 6000, BatchTargets());
   cell.mNow += 2100ms;
   cell.Arrive(3);
-  const auto freed = cell.mCore.Handle(stream_finished{ bench::Attempt(1), 60 }, cell.mNow);
-  CHECK_TRUE(First<start_prefill>(freed).mAttempt == bench::Attempt(2));
+  const auto freed = cell.mCore.Handle(stream_finished{ cell_fixture::Attempt(1), 60 }, cell.mNow);
+  CHECK_TRUE(First<start_prefill>(freed).mAttempt == cell_fixture::Attempt(2));
 }
 
-TEST(decide, TurnsPassAReviewWhosePrefillEnginesAreBusy)
+TEST(decide, ARequestPassesOneOfALaterRankWhosePrefillEnginesAreBusy)
 {
-  bench cell(20);
-  cell.Arrive(1, 6000, Placement());
-  cell.Arrive(2, 6000, Placement());
-  LONGS_EQUAL(0, Count<start_prefill>(cell.Arrive(3, 6000, Placement())));
+  cell_fixture cell(20);
+  cell.Arrive(1, 6000, BatchTargets());
+  cell.Arrive(2, 6000, BatchTargets());
+  LONGS_EQUAL(0, Count<start_prefill>(cell.Arrive(3, 6000, BatchTargets())));
   LONGS_EQUAL(1, Count<start_prefill>(cell.Arrive(4)));
 }
 
-TEST(decide, SmallTransfersPassBetweenThePiecesOfALargeOne)
+TEST(decide, SmallTransfersRunBetweenTheChunksOfALargeOne)
 {
-  bench cell(20);
-  cell.See({ kOtherPrefill, "p2", runner_role::ePrefill });
-  cell.Arrive(1, 6000, Placement());
+  cell_fixture cell(20);
+  cell.UpdateEngine({ kOtherPrefill, "p2", runner_role::ePrefill });
+  cell.Arrive(1, 6000, BatchTargets());
   cell.Arrive(2);
   const std::uint64_t large = 10 * cell_settings{}.mLink.mChunkBytes;
-  LONGS_EQUAL(2, Count<start_chunk>(cell.Prefilled(1, large)));
-  LONGS_EQUAL(0, Count<start_chunk>(cell.Prefilled(2)));
-  CHECK_TRUE(First<start_chunk>(cell.Chunk(1)).mAttempt == bench::Attempt(2));
+  LONGS_EQUAL(2, Count<start_chunk>(cell.FinishPrefill(1, large)));
+  LONGS_EQUAL(0, Count<start_chunk>(cell.FinishPrefill(2)));
+  CHECK_TRUE(First<start_chunk>(cell.FinishChunk(1)).mAttempt == cell_fixture::Attempt(2));
 }
 
-TEST(decide, ALinkSlowerThanDeclaredIsNoticed)
+TEST(decide, ALinkSlowerThanDeclaredLowersTheMeasuredRate)
 {
-  bench cell(20);
+  cell_fixture cell(20);
   const std::uint64_t chunk = cell_settings{}.mLink.mChunkBytes;
-  cell.Arrive(1, 6000, Placement());
-  cell.Prefilled(1, 20 * chunk);
+  cell.Arrive(1, 6000, BatchTargets());
+  cell.FinishPrefill(1, 20 * chunk);
   const duration declared = LinkBacklog(cell.mCore.State(), 1, request_stage::eReady);
   for (int piece = 0; piece < 10; ++piece) {
     cell.mNow += 100ms;
-    cell.Chunk(1);
+    cell.FinishChunk(1);
   }
   CHECK_TRUE(LinkRate(cell.mCore.State()) < 1.0e9);
   CHECK_TRUE(LinkBacklog(cell.mCore.State(), 1, request_stage::eReady) > declared);
@@ -219,43 +219,47 @@
 
 TEST(decide, TheEngineThatHoldsThePrefixIsPreferredWhileItsQueueIsShort)
 {
-  bench cell(20);
-  cell.See({ kOtherPrefill, "p2", runner_role::ePrefill });
-  const std::vector<prefix_block> guide{ { 77, 4000 } };
-  const engine_id first = First<start_prefill>(cell.Arrive(1, 6000, Placement(), guide)).mEngine;
-  cell.Prefilled(1);
+  cell_fixture cell(20);
+  cell.UpdateEngine({ kOtherPrefill, "p2", runner_role::ePrefill });
+  const std::vector<prefix_block> sharedPrefix{ { 77, 4000 } };
+  const engine_id first =
+    First<start_prefill>(cell.Arrive(1, 6000, BatchTargets(), sharedPrefix)).mEngine;
+  cell.FinishPrefill(1);
   cell.mNow += 100ms;
-  CHECK_TRUE(First<start_prefill>(cell.Arrive(2, 6000, Placement(), guide)).mEngine == first);
+  CHECK_TRUE(First<start_prefill>(cell.Arrive(2, 6000, BatchTargets(), sharedPrefix)).mEngine ==
+             first);
   cell.mCore.Handle(cache_changed{ first, 77, false }, cell.mNow);
-  CHECK_FALSE(First<start_prefill>(cell.Arrive(3, 6000, Placement(), guide)).mEngine == first);
+  CHECK_FALSE(First<start_prefill>(cell.Arrive(3, 6000, BatchTargets(), sharedPrefix)).mEngine ==
+              first);
 }
 
 TEST(decide, ALeavingEngineGetsNoNewWork)
 {
-  bench cell(2);
-  cell.See({ kOtherDecode, "d2", runner_role::eDecode, 2 });
-  cell.See({ kDecode, "d1", runner_role::eDecode, 2, 8000.0, true });
+  cell_fixture cell(2);
+  cell.UpdateEngine({ kOtherDecode, "d2", runner_role::eDecode, 2 });
+  cell.UpdateEngine({ kDecode, "d1", runner_role::eDecode, 2, 8000.0, true });
   cell.Arrive(1);
-  CHECK_TRUE(First<start_chunk>(cell.Prefilled(1)).mEngine == kOtherDecode);
+  CHECK_TRUE(First<start_chunk>(cell.FinishPrefill(1)).mEngine == kOtherDecode);
 }
 
 TEST(decide, ACancelFreesBothEngines)
 {
-  bench cell;
+  cell_fixture cell;
   cell.Arrive(1);
-  cell.Prefilled(1);
-  const auto cancelled = cell.mCore.Handle(request_cancelled{ bench::Attempt(1) }, cell.mNow);
+  cell.FinishPrefill(1);
+  const auto cancelled =
+    cell.mCore.Handle(request_cancelled{ cell_fixture::Attempt(1) }, cell.mNow);
   LONGS_EQUAL(2, Count<cancel_work>(cancelled));
-  LONGS_EQUAL(0, cell.mCore.State().mEngines.at(kDecode).mWork.size());
-  LONGS_EQUAL(0, cell.mCore.State().mChunks.size());
+  LONGS_EQUAL(0, cell.mCore.State().mEngines.at(kDecode).mActiveAttempts.size());
+  LONGS_EQUAL(0, cell.mCore.State().mInFlightChunks.size());
 }
 
-TEST(decide, ADaemonThatEndedLeavesNothingBehind)
+TEST(decide, TheEndOfADaemonRunFreesItsRequestsAndSlots)
 {
-  bench cell(4);
-  cell.Decode(1);
+  cell_fixture cell(4);
+  cell.AdvanceToDecoding(1);
   cell.Arrive(2);
-  const auto gone = cell.mCore.Handle(incarnation_gone{ { 9 } }, cell.mNow);
+  const auto gone = cell.mCore.Handle(incarnation_ended{ { 9 } }, cell.mNow);
   LONGS_EQUAL(2, Count<cancel_work>(gone));
   LONGS_EQUAL(0, cell.mCore.State().mRequests.size());
   LONGS_EQUAL(4, cell.mCore.State().mEngines.at(kDecode).FreeSlots());
@@ -263,28 +267,30 @@
 
 TEST(decide, ARefusedTransferGoesToAnotherEngineWithoutASecondPrefill)
 {
-  bench cell(2);
-  cell.See({ kOtherDecode, "d2", runner_role::eDecode, 2 });
+  cell_fixture cell(2);
+  cell.UpdateEngine({ kOtherDecode, "d2", runner_role::eDecode, 2 });
   cell.Arrive(1);
-  const engine_id first = First<start_chunk>(cell.Prefilled(1)).mEngine;
+  const engine_id first = First<start_chunk>(cell.FinishPrefill(1)).mEngine;
   const auto failed =
-    cell.mCore.Handle(work_failed{ bench::Attempt(1), first, true, false }, cell.mNow);
+    cell.mCore.Handle(work_failed{ cell_fixture::Attempt(1), first, true, false }, cell.mNow);
   CHECK_FALSE(First<start_chunk>(failed).mEngine == first);
   LONGS_EQUAL(0, Count<start_prefill>(failed));
 }
 
 TEST(decide, AnAdoptedStreamKeepsItsSlot)
 {
-  bench cell(2);
-  const request_arrived request{ bench::Attempt(1), "practice", Practice(), 200, 60, {} };
+  cell_fixture cell(2);
+  const request_arrived request{
+    cell_fixture::Attempt(1), "practice", InteractiveTargets(), 200, 60, {}
+  };
   cell.mCore.Handle(request_adopted{ request, request_stage::eDecoding, {}, kDecode }, cell.mNow);
   LONGS_EQUAL(1, cell.mCore.State().mEngines.at(kDecode).FreeSlots());
 }
 
-TEST(decide, SlotsHeldByOthersAreNotGivenAway)
+TEST(decide, SlotsHeldByOtherRequestsAreNotAssigned)
 {
-  bench cell(2);
+  cell_fixture cell(2);
   cell.mCore.Handle(load_reported{ kDecode, 2, 2 }, cell.mNow);
   cell.Arrive(1);
-  LONGS_EQUAL(0, Count<start_chunk>(cell.Prefilled(1)));
+  LONGS_EQUAL(0, Count<start_chunk>(cell.FinishPrefill(1)));
 }
