--- a/src/decide/chooser.h
+++ b/src/decide/chooser.h
@@ -1,7 +1,7 @@
 /**
  * @file chooser.h
- * Choice among the engines that can take a request. The choosers vary by type: the core is a
- * template over one of them.
+ * Policies that choose among the engines that can take a request. The placement core is a template
+ * over one of them.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace dunehook {
 
-/** A way to choose engines. Candidates are never empty and are in the order of their ids. */
+/** A policy that chooses engines. The candidates are never empty and are sorted by id. */
 template<typename T>
 concept engine_chooser = requires(T& aChooser,
                                   const cell_state& aCell,
@@ -30,7 +30,7 @@
     } -> std::convertible_to<const char*>;
 };
 
-/** @return the candidate with the most free slots; the first of equals. */
+/** @return the candidate with the most free slots; on a tie the one with the lowest id. */
 inline const engine_entry*
 MostFreeSlots(std::span<const engine_entry* const> aCandidates)
 {
@@ -40,7 +40,9 @@
     });
 }
 
-/** Prefill where the prompt is read soonest, counting cached prefixes; decode where most is free.
+/**
+ * Chooses the prefill engine with the earliest expected end of the prefill, counting cached
+ * prefixes, and the decode engine with the most free slots.
  */
 struct cost_chooser
 {
@@ -71,7 +73,7 @@
   }
 };
 
-/** Engines in turn. A baseline. */
+/** Takes the engines in turn. Baseline for comparisons. */
 struct round_robin_chooser
 {
   static constexpr const char* kName = "round_robin"; ///< Name in records.
@@ -90,11 +92,11 @@
     return aCandidates[mNextDecode++ % aCandidates.size()];
   }
 
-  std::size_t mNextPrefill = 0; ///< Counts prefill choices.
-  std::size_t mNextDecode = 0;  ///< Counts decode choices.
+  std::size_t mNextPrefill = 0; ///< Number of prefill choices made.
+  std::size_t mNextDecode = 0;  ///< Number of decode choices made.
 };
 
-/** The engine with the least work known. A baseline. */
+/** Takes the engine with the fewest known requests. Baseline for comparisons. */
 struct least_loaded_chooser
 {
   static constexpr const char* kName = "least_loaded"; ///< Name in records.
--- a/src/decide/decide_type.h
+++ b/src/decide/decide_type.h
@@ -1,7 +1,8 @@
 /**
  * @file decide_type.h
- * Ids, settings and switches of the decision core. The core is pure: no I/O, no clock, seeded
- * random numbers; the same events at the same instants give the same orders.
+ * Ids, settings and switches of the placement core. The core is deterministic: it does no I/O,
+ * reads no clock and seeds its random numbers, so the same events at the same times give the same
+ * orders.
  */
 #pragma once
 
@@ -16,10 +17,10 @@
 namespace dunehook {
 
 struct engine_tag;
-/** A runner, by the hash of its name. */
+/** Identifies a runner by the hash of its name. */
 using engine_id = strong_id<engine_tag>;
 
-/** A prefix of a prompt. */
+/** A prefix of a prompt that engines may have cached. */
 struct prefix_block
 {
   std::uint64_t mHash = 0;   ///< Hash of the prompt up to the end of the block.
@@ -31,12 +32,12 @@
 /** Mechanisms of placement that the bench can switch off one at a time. */
 struct placement_switches
 {
-  bool mDecodeSlotGating = true; ///< Prefill starts only with a decode slot expected at its end.
+  bool mDecodeSlotGating = true; ///< Start a prefill only if a decode slot is expected at its end.
   bool mPrefixAffinity = true;   ///< Prefer the engine that holds the prompt's prefix.
-  bool mChunkedTransfers = true; ///< Large transfers go in pieces.
-  bool mAdmission = true;        ///< Refuse at once what can't be on time.
-  bool mRetryBudget = true;      ///< Bound repeats by a share of the admitted requests.
-  bool mAging = false;           ///< The longest wait goes first. Off: see docs/DECISIONS.md, 5.
+  bool mChunkedTransfers = true; ///< Split large transfers into chunks.
+  bool mAdmission = true;        ///< Refuse requests that can't meet their targets.
+  bool mRetryBudget = true;      ///< Limit repeats to a fraction of the admitted requests.
+  bool mAging = false;           ///< Serve the longest wait first. Off: see docs/DECISIONS.md, 5.
 
   auto operator<=>(const placement_switches&) const = default;
 };
@@ -44,35 +45,36 @@
 /** Settings of one cell, from its route, pools and link. */
 struct cell_settings
 {
-  duration mKvLifetime = std::chrono::milliseconds(800); ///< Lifetime of a prefill result.
-  std::uint64_t mKvBytesPerToken = 131072;               ///< Size of a prefill result.
-  link_spec mLink;                                       ///< Link between the two pools.
-  placement_switches mSwitches;                          ///< Mechanisms in use.
+  duration mKvLifetime =
+    std::chrono::milliseconds(800);        ///< How long an engine keeps a prefill result.
+  std::uint64_t mKvBytesPerToken = 131072; ///< Size of a prefill result per prompt token.
+  link_spec mLink;                         ///< Link between the two pools.
+  placement_switches mSwitches;            ///< Mechanisms in use.
 
   auto operator<=>(const cell_settings&) const = default;
 };
 
-/** What the core knows of a runner from the configuration and the host list. */
+/** Properties of a runner from the configuration and the host list. */
 struct engine_info
 {
   engine_id mId;                             ///< Its id.
   std::string mName;                         ///< Its name, for records.
   runner_role mRole = runner_role::ePrefill; ///< Prefill or decode.
   std::uint32_t mSlots = 20;                 ///< Requests held at once; decode only.
-  double mTokensPerSecond = 8000.0;          ///< Prompt tokens read a second; prefill only.
+  double mTokensPerSecond = 8000.0;          ///< Prompt tokens processed per second; prefill only.
   bool mLeaving = false;                     ///< Takes no new work.
 
   auto operator<=>(const engine_info&) const = default;
 };
 
-/** How far a request has come. */
+/** Stage of a request, in the order in which they are passed. */
 enum class request_stage
 {
-  eWaiting,      ///< In the queue; no work was done.
-  ePrefilling,   ///< A prefill engine reads the prompt.
+  eWaiting,      ///< Queued for a prefill engine; a repeat comes back here.
+  ePrefilling,   ///< A prefill engine processes the prompt.
   eReady,        ///< The prefill result waits for a decode slot.
-  eTransferring, ///< A decode slot is held; the result is on its way.
-  eDecoding,     ///< Tokens are generated.
+  eTransferring, ///< A decode slot is held; the result is being transferred to it.
+  eDecoding,     ///< The decode engine generates tokens.
 };
 
 /** @return the stage's name in records. */
--- a/src/decide/engine_base.h
+++ b/src/decide/engine_base.h
@@ -11,17 +11,18 @@
 
 namespace dunehook {
 
-/** An engine as the core sees it. */
+/** State of an engine as the placement core knows it. */
 struct engine_entry
 {
-  engine_info mInfo;                    ///< From configuration and host list.
-  std::set<attempt_id> mActiveAttempts; ///< Requests that this core has there now.
-  std::uint32_t mOtherSlots = 0;        ///< Slots held by others, as last reported.
-  instant mAvoidUntil{ 0 };             ///< No new work before this, after a refusal or failure.
+  engine_info mInfo;                    ///< From the configuration and the host list.
+  std::set<attempt_id> mActiveAttempts; ///< Requests that this core has placed there.
+  std::uint32_t mOtherSlots =
+    0; ///< Slots held by requests that this core doesn't know, as last reported.
+  instant mAvoidUntil{ 0 }; ///< No new work before this, after a refusal or failure.
 
-  /** @return whether it may be given work at @p aNow. */
+  /** @return whether the engine may be given new work at @p aNow. */
   bool TakesWork(instant aNow) const { return !mInfo.mLeaving && aNow >= mAvoidUntil; }
-  /** @return slots that are not held. */
+  /** @return the number of slots that nobody holds. */
   std::uint32_t FreeSlots() const
   {
     const std::size_t held = mActiveAttempts.size() + mOtherSlots;
--- a/src/decide/event.cpp
+++ b/src/decide/event.cpp
@@ -1,6 +1,6 @@
 /**
  * @file event.cpp
- * What each event changes in the tables.
+ * Changes that each event makes to the tables of a cell.
  */
 #include "decide/event_func.h"
 
@@ -14,11 +14,11 @@
 
 namespace {
 
-/** Weight of a new measurement in the mean service time. */
+/** Weight of a new sample in the moving averages of service time and link rate. */
 constexpr double kSmoothingFactor = 0.1;
-/** Share of the first-token target that a forecast may take at admission. */
+/** Fraction of the first-token target that the forecast may reach at admission. */
 constexpr double kAdmissionTargetFraction = 0.9;
-/** Retry-After where no engine is there at all. */
+/** Base of Retry-After where a role has no runner at all. */
 constexpr duration kNoRunnerRetryAfter = std::chrono::seconds(2);
 
 bool
@@ -37,7 +37,7 @@
   });
 }
 
-/** Applies each kind of event. */
+/** Visitor that applies an event of each type. */
 class event_applier
 {
 public:
@@ -50,7 +50,7 @@
   void operator()(const request_arrived& aEvent)
   {
     if (mCell.FindRequest(aEvent.mAttempt) != nullptr) {
-      return; // The frontend asked twice.
+      return; // The frontend sent the request twice.
     }
     ++mCell.mCounters.mArrived;
     request_entry entry;
@@ -79,7 +79,7 @@
     entry.mPrefill = aEvent.mPrefill;
     entry.mDecode = aEvent.mDecode;
     if (aEvent.mStage == request_stage::eTransferring) {
-      // Which pieces have arrived isn't known here: the transfer starts again.
+      // The new owner doesn't know which chunks have arrived, so the transfer starts again.
       entry.mStage = request_stage::eReady;
       entry.mDecode = {};
     }
@@ -224,7 +224,7 @@
   bool Admit(const request_entry& aEntry)
   {
     if (!TakesWork(mCell, runner_role::ePrefill) || !TakesWork(mCell, runner_role::eDecode)) {
-      return true; // Engines are avoided for a moment only.
+      return true; // Engines are avoided only briefly, so the request is queued.
     }
     const wait_forecast forecast = ForecastWait(mCell, aEntry.mRequest);
     const priority_class_spec& targets = aEntry.mRequest.mTargets;
@@ -271,7 +271,10 @@
     aRequest.mStage = request_stage::eReady;
   }
 
-  /** Takes the oldest piece of an attempt off the link, and measures the rate by whole pieces. */
+  /**
+   * Removes an attempt's oldest chunk from the link. Only full-sized chunks update the measured
+   * link rate.
+   */
   void CompleteOldestChunk(const attempt_id& aAttempt)
   {
     const auto chunk =
@@ -306,8 +309,8 @@
     ReleaseEngines(mCell, aRequest);
   }
 
-  cell_state& mCell; ///< The tables.
-  tick_result& mOut; ///< Takes orders and records.
+  cell_state& mCell; ///< The tables to change.
+  tick_result& mOut; ///< Receives orders and decision records.
 };
 
 } // namespace
--- a/src/decide/event_func.h
+++ b/src/decide/event_func.h
@@ -1,6 +1,6 @@
 /**
  * @file event_func.h
- * Applies events to a cell's tables. The systems of the next tick act on the result.
+ * Applies events to a cell's tables. The placement steps that follow act on the result.
  */
 #pragma once
 
@@ -10,9 +10,9 @@
 
 /**
  * Applies one event.
- * @param aCell the tables; aCell.mNow is the event's instant.
+ * @param aCell the tables; aCell.mNow is the time of the event.
  * @param aEvent what happened.
- * @param aOut takes orders that follow at once, such as a refusal.
+ * @param aOut receives the orders that the event itself causes, such as a refusal.
  */
 void
 ApplyEvent(cell_state& aCell, const decide_event& aEvent, tick_result& aOut);
--- a/src/decide/event_type.h
+++ b/src/decide/event_type.h
@@ -1,6 +1,7 @@
 /**
  * @file event_type.h
- * What the decision core is told. Every change of its tables comes from one of these.
+ * Events of the placement core. Its tables change only by these events and by the placement steps
+ * that follow them.
  */
 #pragma once
 
@@ -10,31 +11,31 @@
 
 namespace dunehook {
 
-/** A request to place. */
+/** A request has arrived and has to be placed. */
 struct request_arrived
 {
-  attempt_id mAttempt;               ///< Identifies the request in the core.
+  attempt_id mAttempt;               ///< Identifies the request.
   std::string mClass;                ///< Name of its priority class.
   priority_class_spec mTargets;      ///< The class's targets.
   std::uint32_t mPromptTokens = 0;   ///< Length of the prompt.
-  std::uint32_t mMaxTokens = 0;      ///< Most tokens of the answer; 0 if unknown.
+  std::uint32_t mMaxTokens = 0;      ///< Upper limit of generated tokens; 0 if unknown.
   std::vector<prefix_block> mBlocks; ///< Prefixes of the prompt, shortest first.
 
   auto operator<=>(const request_arrived&) const = default;
 };
 
-/** A request that another owner placed, told to the owner that follows it. */
+/** A request that the cell's previous owner placed is handed to its new owner. */
 struct request_adopted
 {
   request_arrived mRequest;                       ///< The request.
-  request_stage mStage = request_stage::eWaiting; ///< How far it has come.
+  request_stage mStage = request_stage::eWaiting; ///< Stage that it has reached.
   engine_id mPrefill;                             ///< Prefill engine, if any.
   engine_id mDecode;                              ///< Decode engine, if any.
 
   auto operator<=>(const request_adopted&) const = default;
 };
 
-/** The prefill engine has read the prompt. */
+/** The prefill engine has processed the prompt. */
 struct prefill_finished
 {
   attempt_id mAttempt;             ///< The request.
@@ -44,7 +45,7 @@
   auto operator<=>(const prefill_finished&) const = default;
 };
 
-/** A piece of a transfer has arrived. */
+/** A chunk of a transfer has arrived at the decode engine. */
 struct chunk_finished
 {
   attempt_id mAttempt; ///< The request.
@@ -52,7 +53,7 @@
   auto operator<=>(const chunk_finished&) const = default;
 };
 
-/** The last token was sent. */
+/** The last token of the answer was sent. */
 struct stream_finished
 {
   attempt_id mAttempt;       ///< The request.
@@ -66,13 +67,13 @@
 {
   attempt_id mAttempt;   ///< The request.
   engine_id mEngine;     ///< Where it failed.
-  bool mRefused = false; ///< The engine answered that it takes no work now.
-  bool mKvLost = false;  ///< The prefill result is gone.
+  bool mRefused = false; ///< Whether the engine refused the work, rather than failed.
+  bool mKvLost = false;  ///< Whether the prefill result is lost.
 
   auto operator<=>(const work_failed&) const = default;
 };
 
-/** The caller is gone, or the frontend ended the request. */
+/** The caller disconnected, or the frontend ended the request. */
 struct request_cancelled
 {
   attempt_id mAttempt; ///< The request.
@@ -80,10 +81,10 @@
   auto operator<=>(const request_cancelled&) const = default;
 };
 
-/** A runner is in the host list, or what is known of it changed. */
+/** A runner was added to the host list, or its properties changed. */
 struct engine_updated
 {
-  engine_info mInfo; ///< What is known.
+  engine_info mInfo; ///< Its current properties.
 
   auto operator<=>(const engine_updated&) const = default;
 };
@@ -104,30 +105,30 @@
   auto operator<=>(const engine_unreachable&) const = default;
 };
 
-/** An engine's report of its load; it lags. */
+/** An engine reported its load. Reports lag behind the core's own records. */
 struct load_reported
 {
   engine_id mEngine;             ///< The engine.
-  std::uint32_t mHeldSlots = 0;  ///< Slots held by anybody.
+  std::uint32_t mHeldSlots = 0;  ///< Slots held in total.
   std::uint32_t mOtherSlots = 0; ///< Slots held by requests that this core doesn't know.
 
   auto operator<=>(const load_reported&) const = default;
 };
 
-/** An engine's cache took or dropped a prefix; late, and some reports never come. */
+/** An engine cached or evicted a prefix. Reports come late, and some are lost. */
 struct cache_changed
 {
   engine_id mEngine;       ///< The engine.
-  std::uint64_t mHash = 0; ///< The prefix.
-  bool mPresent = false;   ///< Whether it's there now.
+  std::uint64_t mHash = 0; ///< Hash of the prefix.
+  bool mPresent = false;   ///< Whether the prefix is cached now.
 
   auto operator<=>(const cache_changed&) const = default;
 };
 
-/** A daemon run has ended; nobody waits for its requests. */
+/** A daemon run has ended, so that no caller waits for its requests any more. */
 struct incarnation_ended
 {
-  incarnation_id mIncarnation; ///< The run.
+  incarnation_id mIncarnation; ///< The daemon run.
 
   auto operator<=>(const incarnation_ended&) const = default;
 };
--- a/src/decide/forecast.cpp
+++ b/src/decide/forecast.cpp
@@ -1,6 +1,6 @@
 /**
  * @file forecast.cpp
- * Predictions from a cell's tables.
+ * Forecasts of waits, transfer times and free slots from a cell's tables.
  */
 #include "decide/forecast_func.h"
 
@@ -10,14 +10,15 @@
 
 namespace {
 
-/** Share of the between-tokens target that a step takes until an answer was measured. */
+/** Assumed time of a decode step, as a fraction of the between-tokens target; used until measured.
+ */
 constexpr double kAssumedStepFraction = 0.7;
 
-/** Work of the cell that a newcomer of some rank has to wait for. */
+/** Work that is served before a new request of a given rank. */
 struct work_ahead
 {
-  double mPrefillSeconds = 0.0; ///< Prompt work at engines and in the queue.
-  double mSlotDemand = 0.0;     ///< Requests that will need a slot before it.
+  double mPrefillSeconds = 0.0; ///< Prefill time of the prompts at engines and in the queue.
+  double mSlotDemand = 0.0;     ///< Requests that need a decode slot before it.
 };
 
 double
--- a/src/decide/forecast_func.h
+++ b/src/decide/forecast_func.h
@@ -1,7 +1,7 @@
 /**
  * @file forecast_func.h
- * Predictions from a cell's tables: when slots come free, how long a prefill takes, how long a
- * newcomer would wait.
+ * Forecasts from a cell's tables: when decode slots become free, how long a prefill or a transfer
+ * takes, and how long a new request would wait.
  */
 #pragma once
 
@@ -12,55 +12,58 @@
 /** Supply of decode slots. */
 struct slot_supply
 {
-  std::uint32_t mFree = 0;         ///< Slots not held at engines that take work.
-  std::uint32_t mTotal = 0;        ///< Slots of engines that take work.
-  double mReleasesPerSecond = 0.0; ///< Rate at which held slots come free.
+  std::uint32_t mFree = 0;         ///< Free slots of engines that take work.
+  std::uint32_t mTotal = 0;        ///< All slots of engines that take work.
+  double mReleasesPerSecond = 0.0; ///< Rate at which held slots become free.
 };
 
 /** @return the supply of decode slots now. */
 slot_supply
 ForecastSlots(const cell_state& aCell);
 
-/** @return mean time that requests of a class hold a decode slot, in seconds. */
+/**
+ * @return the mean time in seconds for which requests of this one's class hold a decode slot; an
+ * estimate from the class's targets until it was measured.
+ */
 double
 ServiceSeconds(const cell_state& aCell, const request_arrived& aRequest);
 
 /**
  * @param aEngine a prefill engine.
- * @param aRank work of this rank or before it is counted as ahead.
- * @return time until the engine is through with the work ahead of a newcomer.
+ * @param aRank work of this rank or an earlier one is counted.
+ * @return the time until the engine has finished the work that it does before a new request.
  */
 duration
 PrefillBacklog(const cell_state& aCell, const engine_entry& aEngine, std::int64_t aRank);
 
-/** @return time the engine needs for the part of the prompt that it doesn't hold. */
+/** @return the time the engine needs for the part of the prompt that it hasn't cached. */
 duration
 PrefillTime(const cell_state& aCell, const engine_entry& aEngine, const request_arrived& aRequest);
 
-/** @return bytes a second that the link carries: as declared, or less if less was measured. */
+/** @return the link's rate in bytes per second: the lower of the declared and the measured one. */
 double
 LinkRate(const cell_state& aCell);
 
-/** @return time the link needs for the request's prefill result when nothing else moves. */
+/** @return the time to transfer the request's prefill result over an otherwise idle link. */
 duration
 TransferTime(const cell_state& aCell, const request_arrived& aRequest);
 
 /**
- * @param aRank transfers of this rank or before it are counted; aging doesn't count on the link.
- * @param aFrom the earliest stage counted; transfers under way always are.
- * @return time the link needs for the prefill results that are to move.
+ * @param aRank transfers of this rank or an earlier one are counted; aging is ignored on the link.
+ * @param aFrom the earliest stage counted; running transfers always are.
+ * @return the time the link needs for the prefill results still to be transferred.
  */
 duration
 LinkBacklog(const cell_state& aCell, std::uint32_t aRank, request_stage aFrom);
 
-/** What a newcomer would meet. */
+/** Forecast for a new request. */
 struct wait_forecast
 {
-  duration mWait{ 0 };       ///< Time in queues before its prefill, or for a slot.
+  duration mWait{ 0 };       ///< Time queued before its prefill, or for a decode slot or the link.
   duration mFirstToken{ 0 }; ///< Time to its first token.
 };
 
-/** @return the forecast for a newcomer. @pre the cell has an engine of each role taking work. */
+/** @return the forecast for a new request. @pre an engine of each role takes work. */
 wait_forecast
 ForecastWait(const cell_state& aCell, const request_arrived& aRequest);
 
--- a/src/decide/order.cpp
+++ b/src/decide/order.cpp
@@ -1,6 +1,6 @@
 /**
  * @file order.cpp
- * Text of stages, orders and decision records.
+ * Text forms of stages, orders and decision records.
  */
 #include "decide/order_type.h"
 
--- a/src/decide/placement_core.h
+++ b/src/decide/placement_core.h
@@ -1,6 +1,6 @@
 /**
  * @file placement_core.h
- * The decision core of one cell: events in, orders and decision records out.
+ * The placement core of one cell: takes events and returns orders and decision records.
  */
 #pragma once
 
@@ -11,7 +11,7 @@
 
 /**
  * Places the requests of a cell.
- * @tparam Chooser how engines are chosen.
+ * @tparam Chooser the policy that chooses engines.
  */
 template<engine_chooser Chooser>
 class placement_core
@@ -19,7 +19,7 @@
 public:
   /**
    * @param aSettings settings of the cell.
-   * @param aSeed seed of the random numbers that spread Retry-After.
+   * @param aSeed seed of the jitter in Retry-After.
    */
   explicit placement_core(const cell_settings& aSettings, std::uint64_t aSeed = 1)
   {
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Applies an event and runs the systems.
-   * @param aNow the event's instant; never before that of an earlier call.
+   * Applies an event and runs the placement steps.
+   * @param aNow the time of the event; never earlier than in a previous call.
    */
   tick_result Handle(const decide_event& aEvent, instant aNow)
   {
@@ -40,7 +40,7 @@
     return out;
   }
 
-  /** Runs the systems without an event, so that time limits take effect. */
+  /** Runs the placement steps without an event, so that time limits take effect. */
   tick_result Tick(instant aNow)
   {
     tick_result out;
@@ -62,7 +62,7 @@
   }
 
   cell_state mCell; ///< The tables.
-  Chooser mChooser; ///< How engines are chosen.
+  Chooser mChooser; ///< Policy that chooses engines.
 };
 
 } // namespace dunehook
--- a/src/decide/prefix_index.cpp
+++ b/src/decide/prefix_index.cpp
@@ -1,6 +1,6 @@
 /**
  * @file prefix_index.cpp
- * The prefix hints.
+ * Hints on which engine has cached which prefix.
  */
 #include "decide/prefix_index.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kConfidenceDecaySeconds = 60.0; ///< Confidence falls to 1/e in this time.
+constexpr double kConfidenceDecaySeconds = 60.0; ///< Time in which the confidence falls to 1/e.
 
 } // namespace
 
--- a/src/decide/prefix_index.h
+++ b/src/decide/prefix_index.h
@@ -1,7 +1,8 @@
 /**
  * @file prefix_index.h
- * Which engine probably holds which prefix. A hint: reports are late and have gaps, so confidence
- * decays, and a wrong hint costs a prefill, never a wrong answer.
+ * Records which engine has probably cached which prefix. Cache reports come late and have gaps, so
+ * the entries are hints whose confidence decays. A wrong hint costs a prefill, never a wrong
+ * answer.
  */
 #pragma once
 
@@ -12,17 +13,19 @@
 
 namespace dunehook {
 
-/** Prefixes by engine, bounded in number. */
+/** Cached prefixes by engine, limited in number per engine. */
 class prefix_index
 {
 public:
-  /** Notes that @p aEngine holds @p aHash now. */
+  /** Records that @p aEngine has the prefix @p aHash in its cache at @p aNow. */
   void RecordCached(engine_id aEngine, std::uint64_t aHash, instant aNow);
-  /** Notes that @p aEngine no longer holds @p aHash. */
+  /** Records that @p aEngine no longer has the prefix @p aHash in its cache. */
   void RecordEvicted(engine_id aEngine, std::uint64_t aHash);
-  /** Forgets an engine. */
+  /** Removes all hints of an engine. */
   void RemoveEngine(engine_id aEngine);
-  /** @return prompt tokens expected in the engine's cache: tokens of the best block by confidence.
+  /**
+   * @return the prompt tokens expected in the engine's cache: the largest product of a block's
+   * tokens and the confidence in its hint.
    */
   std::uint32_t ExpectedTokens(engine_id aEngine,
                                const std::vector<prefix_block>& aBlocks,
@@ -36,7 +39,7 @@
   {
     std::unordered_map<std::uint64_t, instant>
       mLastConfirmed;                          ///< When each prefix was last confirmed.
-    std::deque<std::uint64_t> mInsertionOrder; ///< Oldest first; may hold dropped ones.
+    std::deque<std::uint64_t> mInsertionOrder; ///< Hashes of mLastConfirmed, first recorded first.
   };
   std::unordered_map<engine_id, engine_hints> mByEngine; ///< Hints by engine.
 };
--- a/src/decide/request.cpp
+++ b/src/decide/request.cpp
@@ -1,6 +1,6 @@
 /**
  * @file request.cpp
- * Steps in the life of a request.
+ * Operations on requests that the events and the placement steps share.
  */
 #include "decide/request_func.h"
 
--- a/src/decide/request_func.h
+++ b/src/decide/request_func.h
@@ -1,7 +1,7 @@
 /**
  * @file request_func.h
- * Steps in the life of a request, shared by the systems: refusing, sending back to the queue,
- * ending.
+ * Operations on requests that the events and the placement steps share: refusing, requeueing and
+ * releasing.
  */
 #pragma once
 
@@ -16,7 +16,7 @@
 /** An engine that failed gets no new work for this long. */
 inline constexpr duration kFailureBackoff = std::chrono::seconds(1);
 
-/** Adds a decision record. */
+/** Appends a decision record to the output. */
 void
 AppendDecision(tick_result& aOut,
                const request_entry& aRequest,
@@ -25,23 +25,23 @@
                std::string_view aChosen,
                std::string_view aReason);
 
-/** @return when a refused caller may come back: the predicted drain, spread by up to a half. */
+/** @return Retry-After of a refusal: the predicted wait plus a random part of up to half of it. */
 duration
 JitteredRetryAfter(cell_state& aCell, duration aPredictedWait);
 
-/** Removes a request from the engines' tables. */
+/** Removes a request from its engines and its chunks from the link. */
 void
 ReleaseEngines(cell_state& aCell, request_entry& aRequest);
 
-/** Forgets the pieces of a request's transfer that are on the link. */
+/** Removes the chunks of a request from those on the link. */
 void
 DropInFlightChunks(cell_state& aCell, request_entry& aRequest);
 
-/** Counts the prompt tokens computed for a request as wasted, if there are any. */
+/** Counts the prompt tokens that were computed for a request as wasted. */
 void
 CountWastedTokens(cell_state& aCell, const request_entry& aRequest);
 
-/** Orders the engines to free what they hold for a request. */
+/** Orders the engines of a request to stop it and to free its slot and memory. */
 void
 CancelEngineWork(const request_entry& aRequest, tick_result& aOut);
 
@@ -49,13 +49,14 @@
 void
 Refuse(cell_state& aCell, const attempt_id& aAttempt, std::string_view aReason, tick_result& aOut);
 
-/** Sends a request back to the queue if the retry budget allows, else refuses it. */
+/** Puts a request back into the queue if the retry budget allows it, else refuses it. */
 void
 Requeue(cell_state& aCell, const attempt_id& aAttempt, std::string_view aReason, tick_result& aOut);
 
 /**
- * @return attempts at the given stage, in the order in which they go: rank, then arrival; prefill
- * results that wait for a slot go by the end of their lives, since each was capacityExpected one.
+ * @return the attempts at a stage in the order in which they are served: by rank, then arrival.
+ * Attempts at eReady are served by the expiry of their prefill results, since a slot was expected
+ * for each of them when its prefill started.
  */
 std::vector<attempt_id>
 AttemptsInServiceOrder(const cell_state& aCell, request_stage aStage);
--- a/src/decide/system.cpp
+++ b/src/decide/system.cpp
@@ -1,6 +1,6 @@
 /**
  * @file system.cpp
- * The systems that don't depend on the chooser.
+ * The placement steps that don't depend on the chooser.
  */
 #include "decide/system_func.h"
 
@@ -17,7 +17,7 @@
   request_entry* oldest = nullptr;
   for (auto& [attempt, request] : aCell.mRequests) {
     if (request.mAged) {
-      return; // One at a time: the class is moved along, and doesn't turn the ranks around.
+      return; // One at a time: a class makes progress without reversing the order of the ranks.
     }
     const duration limit = std::chrono::milliseconds(request.mRequest.mTargets.mAgingMs);
     if (request.mStage != request_stage::eWaiting || aCell.mNow - request.mArrived <= limit) {
--- a/src/decide/system_func.h
+++ b/src/decide/system_func.h
@@ -1,6 +1,7 @@
 /**
  * @file system_func.h
- * The systems that run over a cell's tables each tick, in the order of this file.
+ * The placement steps that run over a cell's tables on each event and tick, in the order of this
+ * file.
  */
 #pragma once
 
@@ -11,44 +12,46 @@
 
 namespace dunehook {
 
-/** Work of one rank that a prefill engine is given at once: one under way and one behind it. */
+/** Most prefills of one rank at an engine: one running and one queued behind it. */
 inline constexpr std::size_t kMaxPrefillsPerRank = 2;
-/** Pieces on a link at once: one moving and one that hides the round trip. */
+/** Most chunks on a link: one being sent and one that hides the round trip. */
 inline constexpr std::size_t kMaxInFlightChunks = 2;
-/** Transfers that hold slots while they wait for the link may add up to this. */
+/** Longest link backlog at which another transfer may take a slot and wait for the link. */
 inline constexpr duration kMaxLinkQueueTime = std::chrono::milliseconds(30);
-/** Time between the predicted end of a prefill and that of its capacityExpected slot. */
+/** How long after the predicted end of a prefill its slot and the link may become free. */
 inline constexpr duration kCapacityWaitTolerance = std::chrono::milliseconds(100);
 
 /**
- * System 1: the request that has waited longest beyond what its class allows goes before every
- * rank until it was read; one at a time.
+ * Step 1: serves the request that has waited longest beyond its class's aging limit before every
+ * rank until its prefill is finished; one request of the cell at a time.
  */
 void
 AgeRequests(cell_state& aCell);
 
-/** System 2: refuses waiting requests that can no longer be on time; repeats lost prefills. */
+/**
+ * Step 2: refuses waiting requests that can no longer meet their first-token target, and requeues
+ * those whose prefill results have expired.
+ */
 void
 ExpireRequests(cell_state& aCell, tick_result& aOut);
 
-/** @return whether a decode slot can be capacityExpected for the end of a prefill at @p
- * aPrefillEnd. */
+/** @return whether a decode slot is expected to be free when a prefill ends at @p aPrefillEnd. */
 bool
 ExpectsFreeSlot(const cell_state& aCell, instant aPrefillEnd);
 
-/** @return whether the link can be capacityExpected for the end of a prefill at @p aPrefillEnd. */
+/** @return whether the link is expected to be free when a prefill ends at @p aPrefillEnd. */
 bool
 ExpectsFreeLink(const cell_state& aCell, const request_entry& aRequest, instant aPrefillEnd);
 
-/** @return whether the link is free enough for another transfer to take a slot for it. */
+/** @return whether the link's backlog is short enough for the request to take a slot. */
 bool
 LinkQueueHasRoom(const cell_state& aCell, const request_entry& aRequest);
 
-/** @return prefill engines that can be given the request now. */
+/** @return the prefill engines that can take the request now. */
 std::vector<const engine_entry*>
 PrefillCandidates(const cell_state& aCell, const request_entry& aRequest);
 
-/** Notes that a prefill starts, and orders it. */
+/** Assigns a request to a prefill engine and orders the prefill. */
 void
 BeginPrefill(cell_state& aCell,
              request_entry& aRequest,
@@ -56,11 +59,11 @@
              std::size_t aCandidates,
              tick_result& aOut);
 
-/** @return decode engines with a free slot. */
+/** @return the decode engines with a free slot. */
 std::vector<const engine_entry*>
 DecodeCandidates(const cell_state& aCell);
 
-/** Notes that a slot is taken for a transfer. */
+/** Takes a decode slot for a request; ScheduleTransfers() then orders its chunks. */
 void
 BeginTransfer(cell_state& aCell,
               request_entry& aRequest,
@@ -68,7 +71,7 @@
               std::size_t aCandidates,
               tick_result& aOut);
 
-/** System 3: starts prefills for waiting requests whose decode slot can be capacityExpected. */
+/** Step 3: starts waiting prefills for which a decode slot and the link are expected to be free. */
 template<engine_chooser Chooser>
 void
 StartPrefills(cell_state& aCell, Chooser& aChooser, tick_result& aOut)
@@ -77,7 +80,7 @@
     request_entry& request = *aCell.FindRequest(attempt);
     const auto candidates = PrefillCandidates(aCell, request);
     if (candidates.empty()) {
-      continue; // Others may pass a request whose engines are busy.
+      continue; // Later requests may pass one whose engines are busy.
     }
     const engine_entry* const engine = aChooser.ChoosePrefill(aCell, request, candidates);
     const duration work = PrefillBacklog(aCell, *engine, request.EffectiveRank()) +
@@ -93,7 +96,7 @@
   }
 }
 
-/** System 4: gives free decode slots to prefill results that wait. */
+/** Step 4: assigns free decode slots to finished prefills. */
 template<engine_chooser Chooser>
 void
 AssignDecodeEngines(cell_state& aCell, Chooser& aChooser, tick_result& aOut)
@@ -112,7 +115,7 @@
   }
 }
 
-/** System 5: puts pieces of transfers on the link, by rank and age. */
+/** Step 5: puts chunks of transfers on the link, by rank and arrival. */
 void
 ScheduleTransfers(cell_state& aCell, tick_result& aOut);
 
--- a/tests/support/session_script.cpp
+++ b/tests/support/session_script.cpp
@@ -1,6 +1,6 @@
 /**
  * @file session_script.cpp
- * Replays a session through the decision core.
+ * Replays a session through the placement core.
  */
 #include "tests/support/session_script.h"
 
@@ -19,7 +19,7 @@
 
 using json = nlohmann::json;
 
-/** A replay under way. */
+/** State of a replay. Runs a tick every 10 ms between the events. */
 class replay
 {
 public:
@@ -37,7 +37,7 @@
     }
   }
 
-  std::string mOut; ///< What the core answered.
+  std::string mOut; ///< Orders and decision records so far.
 
 private:
   void ReadTargets(const json& aTargets)
@@ -127,10 +127,11 @@
     }
   }
 
-  placement_core<cost_chooser> mCore{ cell_settings{}, 7 }; ///< Decides.
-  std::map<std::string, priority_class_spec> mTargets;      ///< Classes of the script.
-  std::map<std::string, engine_id> mEngines;                ///< Ids by name, counted from 1.
-  instant mNextTick{ 0 };                                   ///< The next tick.
+  placement_core<cost_chooser> mCore{ cell_settings{}, 7 }; ///< The core under test.
+  std::map<std::string, priority_class_spec>
+    mTargets;                                ///< Targets of the script's priority classes, by name.
+  std::map<std::string, engine_id> mEngines; ///< Engine ids by name, assigned from 1.
+  instant mNextTick{ 0 };                    ///< Time of the next tick.
 };
 
 } // namespace
--- a/tests/support/session_script.h
+++ b/tests/support/session_script.h
@@ -1,7 +1,7 @@
 /**
  * @file session_script.h
- * Replays a session through the decision core: a script of events, one JSON object a line, in;
- * the orders and decision records, one a line, out.
+ * Replays a session through the placement core. The script has one event per line, as a JSON
+ * object; the output has one order or decision record per line.
  */
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace dunehook::test {
 
-/** @return what the core answers to the script. @param aScript the lines. */
+/** @return the core's output. @param aScript the lines; those that begin with '#' are ignored. */
 std::string
 ReplaySession(const std::string& aScript);
 
--- a/tests/unit/decide_test.cpp
+++ b/tests/unit/decide_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file decide_test.cpp
- * The decision core: each mechanism on its own, at chosen instants.
+ * The placement core: tests each mechanism alone, with a clock that the test sets.
  */
 #include "decide/placement_core.h"
 
@@ -35,7 +35,7 @@
   return spec;
 }
 
-/** A core with engines, driven by short calls. */
+/** A placement core with one prefill and one decode engine, and helpers that send it events. */
 struct cell_fixture
 {
   explicit cell_fixture(std::uint32_t aSlots = 2, const cell_settings& aSettings = {})
@@ -63,15 +63,15 @@
   {
     return mCore.Handle(chunk_finished{ Attempt(aRequest) }, mNow);
   }
-  /** Brings a request up to decoding. */
+  /** Sends the events that bring a new request to the decoding stage. */
   void AdvanceToDecoding(std::uint64_t aRequest)
   {
     Arrive(aRequest);
     FinishPrefill(aRequest);
     FinishChunk(aRequest);
   }
-  placement_core<cost_chooser> mCore; ///< Decides.
-  instant mNow{ 1s };                 ///< Virtual time.
+  placement_core<cost_chooser> mCore; ///< The core under test.
+  instant mNow{ 1s };                 ///< Time of the next event.
 };
 
 template<typename Order>
--- a/tests/unit/golden_test.cpp
+++ b/tests/unit/golden_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file golden_test.cpp
- * Golden sessions: a script of events gives the committed orders and decisions, byte for byte.
- * DUNEHOOK_GOLDEN_WRITE=1 writes the expected files anew, for review.
+ * Golden sessions: a script of events must give the committed orders and decisions, byte for byte.
+ * DUNEHOOK_GOLDEN_WRITE=1 regenerates the expected files, for review.
  */
 #include "tests/support/session_script.h"
 
