--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -7,7 +7,7 @@
 #include "decide/placement_core.h"
 #include "membership/member_base.h"
 #include "peer/rpc_dispatcher.h"
-#include "resources/fold_base.h"
+#include "resources/replicated_state_base.h"
 
 #include <absl/strings/str_format.h>
 
@@ -186,7 +186,7 @@
   }
   const double heap = HeapBytes();
   const double before = CpuMicros();
-  fold state;
+  replicated_state state;
   for (const log_record& record : records) {
     state.Apply(record);
   }
@@ -202,7 +202,7 @@
   }
   Print("snapshot", size, "bytes", entryBytes);
   const double load = CpuMicros();
-  const auto loaded = fold::FromSnapshot(aResources, entries);
+  const auto loaded = replicated_state::FromSnapshot(aResources, entries);
   Print("snapshot", size, "ms_to_load", (CpuMicros() - load) / 1e3);
   if (!loaded || loaded.value().Resources().size() != aResources) {
     std::cerr << "the snapshot was not read back\n";
@@ -216,7 +216,7 @@
   const auto size = static_cast<double>(aClaims);
   const double heap = HeapBytes();
   const double before = CpuMicros();
-  fold state;
+  replicated_state state;
   for (std::uint64_t offset = 1; offset <= aClaims; ++offset) {
     const claim_command claimed{ "team/route/1796214294-" + std::to_string(offset),
                                  { { 7 }, offset } };
--- a/scripts/check_mutants.sh
+++ b/scripts/check_mutants.sh
@@ -27,7 +27,7 @@
 switch_off src/daemon/router.cpp 'while (mFront.mCallsUnderWay > 0 && Now() < deadline) {' 'while (false) {'
 switch_off src/control/log_follower.cpp 'if (mMembers.HighestNext() <= before) {' 'if (true) {'
 switch_off src/control/log_follower.cpp 'if (!due() || !mLogReachable) {' 'if (true) {'
-switch_off src/resources/fold.cpp 'if (version != aExpected) {' 'if (false) {'
+switch_off src/resources/replicated_state.cpp 'if (version != aExpectedVersion) {' 'if (false) {'
 
 cmake -S . -B build -G Ninja >/dev/null
 cmake --build build >build.out 2>&1 || { tail -n 20 build.out; exit 2; }
--- a/src/callers/completion_session.cpp
+++ b/src/callers/completion_session.cpp
@@ -294,7 +294,7 @@
     co_await RespondError(aExchange, { 400, request.error(), detail });
     co_return;
   }
-  const fold& state = aFrontend.mLog.State();
+  const replicated_state& state = aFrontend.mLog.State();
   for (const auto& [key, one] : state.Resources()) {
     const auto* const route = std::get_if<route_spec>(&one.mSpec);
     if (route == nullptr || route->mModel != request.value().mModel) {
--- a/src/callers/frontend.cpp
+++ b/src/callers/frontend.cpp
@@ -24,7 +24,7 @@
 CurrentGauges(const frontend_context& aFrontend, const cell_counters& aTotals)
 {
   gauge_values values;
-  values.mNextOffset = static_cast<double>(aFrontend.mLog.State().Next());
+  values.mNextOffset = static_cast<double>(aFrontend.mLog.State().NextOffset());
   values.mLogReachable = aFrontend.mLog.LogReachable() ? 1 : 0;
   values.mHostListReachable = aFrontend.mHosts.Reachable() ? 1 : 0;
   values.mMembers = static_cast<double>(aFrontend.mMembers.Others().size() + 1);
@@ -40,7 +40,7 @@
 
 /** @return the name of the path route with the longest prefix of @p aPath, or an empty text. */
 std::string
-FindPathRoute(const fold& aState, std::string_view aPath)
+FindPathRoute(const replicated_state& aState, std::string_view aPath)
 {
   std::string best;
   std::size_t length = 0;
--- a/src/callers/quota_base.h
+++ b/src/callers/quota_base.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "core/token_bucket.h"
-#include "resources/fold_base.h"
+#include "resources/replicated_state_base.h"
 
 #include <map>
 
@@ -22,7 +22,10 @@
    * @param aDaemons serving daemons, at least 1.
    * @return zero if the call may go on, else when to come back.
    */
-  duration Take(const fold& aState, const std::string& aTeam, std::size_t aDaemons, instant aNow)
+  duration Take(const replicated_state& aState,
+                const std::string& aTeam,
+                std::size_t aDaemons,
+                instant aNow)
   {
     const auto* spec = aState.FindSpec<team_spec>(resource_kind::eTeam, aTeam);
     if (spec == nullptr) {
--- a/src/control/cell_owner.cpp
+++ b/src/control/cell_owner.cpp
@@ -104,7 +104,7 @@
 cell_owner::SyncCell(const cell_key& aKey, cell_entry& aCell)
 {
   cell_settings settings;
-  const fold& state = mLog.State();
+  const replicated_state& state = mLog.State();
   if (const auto* pool = state.FindSpec<pool_spec>(resource_kind::ePool, aKey.mPrefillPool)) {
     settings.mKvLifetime = std::chrono::milliseconds(pool->mKvLifetimeMs);
     settings.mKvBytesPerToken = pool->mKvBytesPerToken;
--- a/src/control/log_follower.cpp
+++ b/src/control/log_follower.cpp
@@ -109,13 +109,13 @@
   duration rest = kFirstReadRest;
   for (;;) {
     const instant began = clock.Now();
-    const std::uint64_t before = mFold.Next();
+    const std::uint64_t before = mFold.NextOffset();
     const result<log_batch> batch = co_await mLog.Read(before, kReadWait);
     bool loaded = false;
     if (batch) {
       mLogReachable = true;
       ApplyAll(batch.value().mRecords);
-      mLogHeadReached = mLogHeadReached || mFold.Next() >= batch.value().mNext;
+      mLogHeadReached = mLogHeadReached || mFold.NextOffset() >= batch.value().mNext;
       NoteProgress();
     } else if (batch.error() == errc::eRetentionPassed) {
       loaded = co_await LoadSnapshotFromLog();
@@ -127,7 +127,7 @@
     // A log that holds its answers paces the reads. One that answers nothing new at once is left
     // alone for a rest.
     const bool held = batch && clock.Now() - began >= kLongestReadRest;
-    if (held || loaded || (batch && mFold.Next() > before)) {
+    if (held || loaded || (batch && mFold.NextOffset() > before)) {
       rest = kFirstReadRest;
     } else {
       co_await Rest(rest, kLongestReadRest);
@@ -147,8 +147,8 @@
       co_return false;
     }
     for (const log_record& record : batch.value().mRecords) {
-      std::optional<fold> loaded = reader.Take(record);
-      if (loaded && loaded->Next() >= batch.value().mFirst) {
+      std::optional<replicated_state> loaded = reader.AddRecord(record);
+      if (loaded && loaded->NextOffset() >= batch.value().mFirst) {
         Adopt(std::move(*loaded));
         co_return true;
       }
@@ -158,12 +158,12 @@
 }
 
 void
-log_follower::Adopt(fold aFold)
+log_follower::Adopt(replicated_state aFold)
 {
-  if (aFold.Next() <= mFold.Next()) {
+  if (aFold.NextOffset() <= mFold.NextOffset()) {
     return; // Never back: what is in force stays in force.
   }
-  LogEvent(log_level::eInfo, "snapshot_loaded", { { "next", aFold.Next() } });
+  LogEvent(log_level::eInfo, "snapshot_loaded", { { "next", aFold.NextOffset() } });
   mFold = std::move(aFold);
   mKept.clear();
   mChanged.Notify();
@@ -177,7 +177,7 @@
 {
   bool applied = false;
   for (const log_record& record : aRecords) {
-    if (record.mOffset != mFold.Next()) {
+    if (record.mOffset != mFold.NextOffset()) {
       continue; // Folded already, by way of another daemon.
     }
     mFold.Apply(record);
@@ -198,9 +198,9 @@
 void
 log_follower::NoteProgress()
 {
-  const bool reachedPeers = mFold.Next() >= mMembers.HighestNext();
+  const bool reachedPeers = mFold.NextOffset() >= mMembers.HighestNext();
   const bool knowsEnd =
-    mLogHeadReached || (!mLogReachable && !mMembers.Others().empty() && mFold.Next() > 1);
+    mLogHeadReached || (!mLogReachable && !mMembers.Others().empty() && mFold.NextOffset() > 1);
   mCaughtUp = mCaughtUp || (reachedPeers && knowsEnd);
 }
 
@@ -210,13 +210,13 @@
   duration rest = kRelayPause;
   for (;;) {
     co_await Sleep(kRelayPause);
-    const std::uint64_t before = mFold.Next();
+    const std::uint64_t before = mFold.NextOffset();
     if (mMembers.HighestNext() <= before) {
       rest = kRelayPause;
       continue;
     }
     co_await Sleep(kRelayPause); // The log itself may be about to bring the records.
-    if (mFold.Next() != before) {
+    if (mFold.NextOffset() != before) {
       rest = kRelayPause;
       continue;
     }
@@ -229,7 +229,7 @@
     if (ahead != nullptr) {
       co_await FetchFromPeer(member_info(*ahead));
       NoteProgress();
-      if (mFold.Next() == before) {
+      if (mFold.NextOffset() == before) {
         co_await Rest(rest, kLongestRelayRest);
       }
     }
@@ -239,7 +239,7 @@
 asio::awaitable<void>
 log_follower::FetchFromPeer(const member_info& aPeer)
 {
-  const json message{ { "from", mFold.Next() }, { "most", mRelayRecords } };
+  const json message{ { "from", mFold.NextOffset() }, { "most", mRelayRecords } };
   const result<json> answer = co_await mPeers.Call(aPeer, "records", message, kPeerLimit);
   if (!answer) {
     // A late answer still comes over the link: the next one is smaller.
@@ -264,9 +264,9 @@
   if (!answer || !answer.value().contains("entries")) {
     co_return;
   }
-  result<fold> loaded =
-    fold::FromSnapshot(answer.value().at("at").get<std::uint64_t>(),
-                       answer.value().at("entries").get<std::vector<std::string>>());
+  result<replicated_state> loaded =
+    replicated_state::FromSnapshot(answer.value().at("at").get<std::uint64_t>(),
+                                   answer.value().at("entries").get<std::vector<std::string>>());
   if (loaded) {
     Adopt(std::move(loaded.value()));
   }
@@ -276,7 +276,7 @@
 log_follower::Records(std::uint64_t aFrom, std::size_t aMost) const
 {
   std::vector<log_record> records;
-  if (aFrom >= mFold.Next()) {
+  if (aFrom >= mFold.NextOffset()) {
     return records;
   }
   if (mKept.empty() || aFrom < mKept.front().mOffset) {
@@ -395,7 +395,7 @@
     co_await mChanged.Wait(kLongWait);
     const std::uint64_t covered = mFold.LastSnapshot();
     const auto due = [this] {
-      return mFold.Next() > mFold.LastSnapshot() + mSettings.mSnapshotEvery;
+      return mFold.NextOffset() > mFold.LastSnapshot() + mSettings.mSnapshotEvery;
     };
     if (!due() || !mLogReachable) {
       continue;
@@ -411,7 +411,7 @@
     if (!due()) {
       continue;
     }
-    const std::uint64_t at = mFold.Next() - 1;
+    const std::uint64_t at = mFold.NextOffset() - 1;
     const auto parts = SplitSnapshot(at, mFold.SnapshotEntries(), kSnapshotPartBytes);
     LogEvent(log_level::eInfo, "snapshot_written", { { "at", at }, { "parts", parts.size() } });
     for (const command& part : parts) {
--- a/src/control/log_follower.h
+++ b/src/control/log_follower.h
@@ -9,7 +9,7 @@
 #include "control/peer_directory.h"
 #include "core/token_bucket.h"
 #include "log/log_client.h"
-#include "resources/fold_base.h"
+#include "resources/replicated_state_base.h"
 
 #include <deque>
 #include <memory>
@@ -37,7 +37,7 @@
   void Start();
 
   /** @return the state in force. */
-  const fold& State() const { return mFold; }
+  const replicated_state& State() const { return mFold; }
   /** @return whether every record was folded that the log or a daemon is known to have. */
   bool CaughtUp() const { return mCaughtUp; }
   /** @return whether the log answered lately. */
@@ -92,7 +92,7 @@
   asio::awaitable<result<std::uint64_t>> Append(const command& aCommand);
   asio::awaitable<void> AppendLater(command aCommand);
   void ApplyAll(const std::vector<log_record>& aRecords);
-  void Adopt(fold aFold);
+  void Adopt(replicated_state aFold);
   void NoteProgress();
   template<typename Probe>
   asio::awaitable<result<void>> AppendUntil(command aCommand, duration aLimit, Probe aProbe);
@@ -104,7 +104,7 @@
   follower_settings mSettings;          ///< Share of appends, snapshot distance.
   member_table& mMembers;               ///< Says which daemons are ahead.
   peer_directory& mPeers;               ///< Relays records.
-  fold mFold;                           ///< The state.
+  replicated_state mFold;               ///< The state.
   std::deque<log_record> mKept;         ///< Newest records, for relaying; without holes.
   bool mLogReachable = false;           ///< The last read succeeded.
   bool mLogHeadReached = false;         ///< The fold has reached the log's end once.
--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -221,7 +221,7 @@
       items.push_back(Describe(one));
     }
   }
-  const json body{ { "items", items }, { "next_offset", mLog.State().Next() } };
+  const json body{ { "items", items }, { "next_offset", mLog.State().NextOffset() } };
   co_await aExchange->Respond(200, body.dump());
 }
 
@@ -230,7 +230,7 @@
 {
   const std::uint64_t from = ParseNumber(aExchange->Query("from"));
   const instant deadline = boot_clock_source().Now() + kWatchLimit;
-  while (mLog.State().Next() <= from && boot_clock_source().Now() < deadline &&
+  while (mLog.State().NextOffset() <= from && boot_clock_source().Now() < deadline &&
          !aExchange->CallerGone()) {
     co_await mLog.WaitForChange(500ms);
   }
@@ -240,7 +240,7 @@
       changed.push_back(Describe(one));
     }
   }
-  const json body{ { "items", changed }, { "next_offset", mLog.State().Next() } };
+  const json body{ { "items", changed }, { "next_offset", mLog.State().NextOffset() } };
   co_await aExchange->Respond(200, body.dump());
 }
 
@@ -259,7 +259,7 @@
   for (const auto& [incarnation, entry] : mMembers.Others()) {
     add(entry.mInfo);
   }
-  const json body{ { "next_offset", mLog.State().Next() },
+  const json body{ { "next_offset", mLog.State().NextOffset() },
                    { "digest", mLog.State().Digest() },
                    { "log_reachable", mLog.LogReachable() },
                    { "host_list_reachable", mHosts.Reachable() },
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -204,7 +204,7 @@
     if (mLog.LogReachable() || (others > 0 && 2 * others >= mMostMembers)) {
       mLastContact = Now();
     }
-    mMembers.SetSelf(mLog.State().Next(), IsServing());
+    mMembers.SetSelf(mLog.State().NextOffset(), IsServing());
     const heartbeat beat = mMembers.BuildHeartbeat(Now());
     for (const endpoint& to : beat.mTo) {
       boost::system::error_code ignored;
@@ -292,8 +292,8 @@
 std::string
 router::AnswerSnapshot() const
 {
-  const fold& state = mLog.State();
-  return json{ { "at", state.Next() - 1 }, { "entries", state.SnapshotEntries() } }.dump();
+  const replicated_state& state = mLog.State();
+  return json{ { "at", state.NextOffset() - 1 }, { "entries", state.SnapshotEntries() } }.dump();
 }
 
 std::string
--- a/src/decide/placement_core.h
+++ b/src/decide/placement_core.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "decide/event_func.h"
-#include "decide/system_func.h"
+#include "decide/placement_step_func.h"
 
 namespace dunehook {
 
@@ -36,7 +36,7 @@
     tick_result out;
     mCell.mNow = aNow;
     ApplyEvent(mCell, aEvent, out);
-    RunSystems(out);
+    RunSteps(out);
     return out;
   }
 
@@ -45,14 +45,14 @@
   {
     tick_result out;
     mCell.mNow = aNow;
-    RunSystems(out);
+    RunSteps(out);
     return out;
   }
 
   const cell_state& State() const { return mCell; }
 
 private:
-  void RunSystems(tick_result& aOut)
+  void RunSteps(tick_result& aOut)
   {
     AgeRequests(mCell);
     ExpireRequests(mCell, aOut);
--- a/src/decide/system.cpp
+++ b/src/decide/placement_step.cpp
@@ -1,8 +1,8 @@
 /**
- * @file system.cpp
+ * @file placement_step.cpp
  * The placement steps that don't depend on the chooser.
  */
-#include "decide/system_func.h"
+#include "decide/placement_step_func.h"
 
 #include <algorithm>
 
--- a/src/decide/system_func.h
+++ b/src/decide/placement_step_func.h
@@ -1,5 +1,5 @@
 /**
- * @file system_func.h
+ * @file placement_step_func.h
  * The placement steps that run over a cell's tables on each event and tick, in the order of this
  * file.
  */
--- a/src/resources/claim_func.h
+++ b/src/resources/claim_func.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "resources/fold_base.h"
+#include "resources/replicated_state_base.h"
 
 namespace dunehook {
 
@@ -15,7 +15,7 @@
  * of its earlier run for its own.
  */
 inline bool
-HoldsKey(const fold& aState, const std::string& aKey, const attempt_id& aAttempt)
+HoldsKey(const replicated_state& aState, const std::string& aKey, const attempt_id& aAttempt)
 {
   const auto held = aState.ClaimOf(aKey);
   return held && held->mAttempt == aAttempt;
--- a/src/resources/command.cpp
+++ b/src/resources/command.cpp
@@ -18,7 +18,7 @@
              { "write_id", aCommand.mWriteId },
              { "kind", KindName(aCommand.mKey.mKind) },
              { "name", aCommand.mKey.mName },
-             { "expected", aCommand.mExpected },
+             { "expected", aCommand.mExpectedVersion },
              { "spec", SpecToJson(aCommand.mSpec) } };
   }
   json operator()(const delete_command& aCommand) const
@@ -27,7 +27,7 @@
              { "write_id", aCommand.mWriteId },
              { "kind", KindName(aCommand.mKey.mKind) },
              { "name", aCommand.mKey.mName },
-             { "expected", aCommand.mExpected } };
+             { "expected", aCommand.mExpectedVersion } };
   }
   json operator()(const claim_command& aCommand) const
   {
@@ -44,7 +44,7 @@
   json operator()(const snapshot_command& aCommand) const
   {
     return { { "type", "snapshot" },
-             { "at", aCommand.mAt },
+             { "at", aCommand.mCoveredOffset },
              { "index", aCommand.mIndex },
              { "count", aCommand.mCount },
              { "entries", aCommand.mEntries } };
--- a/src/resources/command_type.h
+++ b/src/resources/command_type.h
@@ -28,10 +28,10 @@
 /** Writes a resource. */
 struct put_command
 {
-  std::string mWriteId;        ///< Chosen by the writer; repeats of it fold once.
-  resource_key mKey;           ///< What is written.
-  std::uint64_t mExpected = 0; ///< The version it replaces; 0 for a new resource.
-  resource_spec mSpec;         ///< The new spec.
+  std::string mWriteId;               ///< Chosen by the writer; repeats of it fold once.
+  resource_key mKey;                  ///< What is written.
+  std::uint64_t mExpectedVersion = 0; ///< The version it replaces; 0 for a new resource.
+  resource_spec mSpec;                ///< The new spec.
 
   auto operator<=>(const put_command&) const = default;
 };
@@ -39,9 +39,9 @@
 /** Deletes a resource. */
 struct delete_command
 {
-  std::string mWriteId;        ///< Chosen by the writer; repeats of it fold once.
-  resource_key mKey;           ///< What is deleted.
-  std::uint64_t mExpected = 0; ///< The version it deletes.
+  std::string mWriteId;               ///< Chosen by the writer; repeats of it fold once.
+  resource_key mKey;                  ///< What is deleted.
+  std::uint64_t mExpectedVersion = 0; ///< The version it deletes.
 
   auto operator<=>(const delete_command&) const = default;
 };
@@ -67,7 +67,7 @@
 /** A part of the state after some record, for daemons that start later. */
 struct snapshot_command
 {
-  std::uint64_t mAt = 0;             ///< Offset of the last record the state covers.
+  std::uint64_t mCoveredOffset = 0;  ///< Offset of the last record the state covers.
   std::uint32_t mIndex = 0;          ///< Which part, from 0.
   std::uint32_t mCount = 1;          ///< How many parts.
   std::vector<std::string> mEntries; ///< Encoded entries of the state.
--- a/src/resources/fold.cpp
+++ b/src/resources/replicated_state.cpp
@@ -1,8 +1,8 @@
 /**
- * @file fold.cpp
+ * @file replicated_state.cpp
  * Testing and executing of commands, and the fold's snapshots.
  */
-#include "resources/fold_base.h"
+#include "resources/replicated_state_base.h"
 
 #include "core/hash_func.h"
 #include "core/text_func.h"
@@ -30,42 +30,42 @@
 } // namespace
 
 result<void>
-fold::Test(const command& aCommand) const
+replicated_state::Validate(const command& aCommand) const
 {
-  return std::visit([this](const auto& aOne) { return Test(aOne); }, aCommand);
+  return std::visit([this](const auto& aTyped) { return Validate(aTyped); }, aCommand);
 }
 
 result<void>
-fold::TestVersion(const resource_key& aKey, std::uint64_t aExpected) const
+replicated_state::ValidateVersion(const resource_key& aKey, std::uint64_t aExpectedVersion) const
 {
   const resource* const current = Find(aKey);
   const std::uint64_t version = current == nullptr ? 0 : current->mVersion;
-  if (version != aExpected) {
+  if (version != aExpectedVersion) {
     return make_error_code(errc::eVersionConflict);
   }
   return boost::outcome_v2::success();
 }
 
 result<void>
-fold::Test(const put_command& aCommand) const
+replicated_state::Validate(const put_command& aCommand) const
 {
   if (!IsValidName(aCommand.mKey.mName)) {
     return make_error_code(errc::eInvalidResource);
   }
-  return TestVersion(aCommand.mKey, aCommand.mExpected);
+  return ValidateVersion(aCommand.mKey, aCommand.mExpectedVersion);
 }
 
 result<void>
-fold::Test(const delete_command& aCommand) const
+replicated_state::Validate(const delete_command& aCommand) const
 {
   if (Find(aCommand.mKey) == nullptr) {
     return make_error_code(errc::eNotFound);
   }
-  return TestVersion(aCommand.mKey, aCommand.mExpected);
+  return ValidateVersion(aCommand.mKey, aCommand.mExpectedVersion);
 }
 
 result<void>
-fold::Test(const claim_command& aCommand) const
+replicated_state::Validate(const claim_command& aCommand) const
 {
   if (mClaims.contains(aCommand.mKey)) {
     return make_error_code(errc::eKeyClaimed);
@@ -74,7 +74,7 @@
 }
 
 result<void>
-fold::Test(const release_command& aCommand) const
+replicated_state::Validate(const release_command& aCommand) const
 {
   const auto held = mClaims.find(aCommand.mKey);
   if (held == mClaims.end() || held->second.mAttempt != aCommand.mAttempt) {
@@ -84,19 +84,19 @@
 }
 
 result<void>
-fold::Test(const snapshot_command& aCommand) const
+replicated_state::Validate(const snapshot_command& aCommand) const
 {
-  if (aCommand.mAt >= mNext || aCommand.mIndex >= aCommand.mCount) {
+  if (aCommand.mCoveredOffset >= mNextOffset || aCommand.mIndex >= aCommand.mCount) {
     return make_error_code(errc::eBadRequest);
   }
   return boost::outcome_v2::success();
 }
 
 void
-fold::Apply(const log_record& aRecord)
+replicated_state::Apply(const log_record& aRecord)
 {
-  assert(aRecord.mOffset == mNext);
-  mNext = aRecord.mOffset + 1;
+  assert(aRecord.mOffset == mNextOffset);
+  mNextOffset = aRecord.mOffset + 1;
   mTimeMs = std::max(mTimeMs, aRecord.mTimeMs);
   ExpireClaims();
   const result<command> decoded = DecodeCommand(aRecord.mData);
@@ -104,77 +104,77 @@
     return;
   }
   std::visit(
-    [this, &aRecord](const auto& aOne) {
-      const std::string* const writeId = WriteIdOf(aOne);
-      if (writeId != nullptr && mOutcomes.contains(*writeId)) {
+    [this, &aRecord](const auto& aTyped) {
+      const std::string* const writeId = WriteIdOf(aTyped);
+      if (writeId != nullptr && mWriteOutcomes.contains(*writeId)) {
         return; // A repeat of an append whose answer was lost.
       }
-      const result<void> tested = Test(aOne);
-      if (tested) {
-        Execute(aOne, aRecord);
+      const result<void> valid = Validate(aTyped);
+      if (valid) {
+        Execute(aTyped, aRecord);
       } else if (writeId != nullptr) {
-        NoteOutcome(*writeId, { tested.error(), 0 });
+        RecordOutcome(*writeId, { valid.error(), 0 });
       }
     },
     decoded.value());
 }
 
 void
-fold::Execute(const put_command& aCommand, const log_record& aRecord)
+replicated_state::Execute(const put_command& aCommand, const log_record& aRecord)
 {
   mResources[aCommand.mKey] = { aCommand.mKey, aRecord.mOffset, aCommand.mSpec };
-  NoteOutcome(aCommand.mWriteId, { {}, aRecord.mOffset });
+  RecordOutcome(aCommand.mWriteId, { {}, aRecord.mOffset });
 }
 
 void
-fold::Execute(const delete_command& aCommand, const log_record& aRecord)
+replicated_state::Execute(const delete_command& aCommand, const log_record& aRecord)
 {
   mResources.erase(aCommand.mKey);
-  NoteOutcome(aCommand.mWriteId, { {}, aRecord.mOffset });
+  RecordOutcome(aCommand.mWriteId, { {}, aRecord.mOffset });
 }
 
 void
-fold::Execute(const claim_command& aCommand, const log_record& aRecord)
+replicated_state::Execute(const claim_command& aCommand, const log_record& aRecord)
 {
   mClaims[aCommand.mKey] = { aCommand.mAttempt, aRecord.mOffset, aRecord.mTimeMs };
   mClaimOrder.push_back(aCommand.mKey);
 }
 
 void
-fold::Execute(const release_command& aCommand, const log_record& /*aRecord*/)
+replicated_state::Execute(const release_command& aCommand, const log_record& /*aRecord*/)
 {
   mClaims.erase(aCommand.mKey);
   std::erase(mClaimOrder, aCommand.mKey);
 }
 
 void
-fold::Execute(const snapshot_command& aCommand, const log_record& /*aRecord*/)
+replicated_state::Execute(const snapshot_command& aCommand, const log_record& /*aRecord*/)
 {
   if (aCommand.mIndex == 0) {
-    mPartsAt = aCommand.mAt;
-    mPartsSeen = 0;
+    mPartialSnapshot = aCommand.mCoveredOffset;
+    mPartialSnapshotParts = 0;
   }
-  if (aCommand.mAt == mPartsAt && aCommand.mIndex == mPartsSeen) {
-    ++mPartsSeen;
+  if (aCommand.mCoveredOffset == mPartialSnapshot && aCommand.mIndex == mPartialSnapshotParts) {
+    ++mPartialSnapshotParts;
   }
-  if (aCommand.mAt == mPartsAt && mPartsSeen == aCommand.mCount) {
-    mLastSnapshot = std::max(mLastSnapshot, aCommand.mAt);
+  if (aCommand.mCoveredOffset == mPartialSnapshot && mPartialSnapshotParts == aCommand.mCount) {
+    mLastSnapshot = std::max(mLastSnapshot, aCommand.mCoveredOffset);
   }
 }
 
 void
-fold::NoteOutcome(const std::string& aWriteId, const write_outcome& aOutcome)
+replicated_state::RecordOutcome(const std::string& aWriteId, const write_outcome& aOutcome)
 {
-  mOutcomes[aWriteId] = aOutcome;
+  mWriteOutcomes[aWriteId] = aOutcome;
   mOutcomeOrder.push_back(aWriteId);
-  if (mOutcomeOrder.size() > kMaxOutcomes) {
-    mOutcomes.erase(mOutcomeOrder.front());
+  if (mOutcomeOrder.size() > kMaxWriteOutcomes) {
+    mWriteOutcomes.erase(mOutcomeOrder.front());
     mOutcomeOrder.pop_front();
   }
 }
 
 void
-fold::ExpireClaims()
+replicated_state::ExpireClaims()
 {
   while (!mClaimOrder.empty()) {
     const auto oldest = mClaims.find(mClaimOrder.front());
@@ -189,30 +189,30 @@
 }
 
 const resource*
-fold::Find(const resource_key& aKey) const
+replicated_state::Find(const resource_key& aKey) const
 {
   const auto found = mResources.find(aKey);
   return found == mResources.end() ? nullptr : &found->second;
 }
 
 std::optional<write_outcome>
-fold::OutcomeOf(const std::string& aWriteId) const
+replicated_state::OutcomeOf(const std::string& aWriteId) const
 {
-  const auto found = mOutcomes.find(aWriteId);
-  return found == mOutcomes.end() ? std::nullopt : std::optional(found->second);
+  const auto found = mWriteOutcomes.find(aWriteId);
+  return found == mWriteOutcomes.end() ? std::nullopt : std::optional(found->second);
 }
 
 std::optional<claim>
-fold::ClaimOf(const std::string& aKey) const
+replicated_state::ClaimOf(const std::string& aKey) const
 {
   const auto found = mClaims.find(aKey);
   return found == mClaims.end() ? std::nullopt : std::optional(found->second);
 }
 
 std::uint64_t
-fold::Digest() const
+replicated_state::Digest() const
 {
-  std::uint64_t digest = mNext;
+  std::uint64_t digest = mNextOffset;
   for (const std::string& entry : SnapshotEntries()) {
     digest = HashBytes(entry, digest);
   }
@@ -220,16 +220,15 @@
 }
 
 std::vector<std::string>
-fold::SnapshotEntries() const
+replicated_state::SnapshotEntries() const
 {
   std::vector<std::string> entries;
-  entries.push_back(json{
-    { "t", "head" },
-    { "time", mTimeMs },
-    { "last", mLastSnapshot },
-    { "parts_at", mPartsAt },
-    { "parts_seen",
-      mPartsSeen } }.dump());
+  entries.push_back(json{ { "t", "head" },
+                          { "time", mTimeMs },
+                          { "last", mLastSnapshot },
+                          { "parts_at", mPartialSnapshot },
+                          { "parts_seen", mPartialSnapshotParts } }
+                      .dump());
   for (const auto& [key, one] : mResources) {
     entries.push_back(json{ { "t", "resource" },
                             { "kind", KindName(key.mKind) },
@@ -249,7 +248,7 @@
         held.mTimeMs } }.dump());
   }
   for (const std::string& writeId : mOutcomeOrder) {
-    const write_outcome& outcome = mOutcomes.at(writeId);
+    const write_outcome& outcome = mWriteOutcomes.at(writeId);
     entries.push_back(json{ { "t", "outcome" },
                             { "id", writeId },
                             { "error", outcome.mError.value() },
@@ -260,14 +259,14 @@
 }
 
 result<void>
-fold::LoadEntry(const json& aEntry)
+replicated_state::LoadEntry(const json& aEntry)
 {
   const auto type = aEntry.at("t").get<std::string>();
   if (type == "head") {
     mTimeMs = aEntry.at("time").get<std::int64_t>();
     mLastSnapshot = aEntry.at("last").get<std::uint64_t>();
-    mPartsAt = aEntry.at("parts_at").get<std::uint64_t>();
-    mPartsSeen = aEntry.at("parts_seen").get<std::uint32_t>();
+    mPartialSnapshot = aEntry.at("parts_at").get<std::uint64_t>();
+    mPartialSnapshotParts = aEntry.at("parts_seen").get<std::uint32_t>();
   } else if (type == "resource") {
     BOOST_OUTCOME_TRY(const resource_kind kind, ParseKind(aEntry.at("kind").get<std::string>()));
     finding_list findings;
@@ -284,20 +283,21 @@
     mClaimOrder.push_back(key);
   } else if (type == "outcome") {
     const int error = aEntry.at("error").get<int>();
-    NoteOutcome(aEntry.at("id").get<std::string>(),
-                { error == 0 ? std::error_code() : make_error_code(static_cast<errc>(error)),
-                  aEntry.at("version").get<std::uint64_t>() });
+    RecordOutcome(aEntry.at("id").get<std::string>(),
+                  { error == 0 ? std::error_code() : make_error_code(static_cast<errc>(error)),
+                    aEntry.at("version").get<std::uint64_t>() });
   } else {
     return make_error_code(errc::eBadRequest);
   }
   return boost::outcome_v2::success();
 }
 
-result<fold>
-fold::FromSnapshot(std::uint64_t aAt, const std::vector<std::string>& aEntries)
+result<replicated_state>
+replicated_state::FromSnapshot(std::uint64_t aCoveredOffset,
+                               const std::vector<std::string>& aEntries)
 {
-  fold loaded;
-  loaded.mNext = aAt + 1;
+  replicated_state loaded;
+  loaded.mNextOffset = aCoveredOffset + 1;
   try {
     for (const std::string& entry : aEntries) {
       BOOST_OUTCOME_TRY(loaded.LoadEntry(json::parse(entry)));
@@ -309,7 +309,9 @@
 }
 
 std::vector<command>
-SplitSnapshot(std::uint64_t aAt, std::vector<std::string> aEntries, std::size_t aMaxBytes)
+SplitSnapshot(std::uint64_t aCoveredOffset,
+              std::vector<std::string> aEntries,
+              std::size_t aMaxBytes)
 {
   std::vector<snapshot_command> parts(1);
   std::size_t bytes = 0;
@@ -323,7 +325,7 @@
   }
   std::vector<command> commands;
   for (std::uint32_t index = 0; index < parts.size(); ++index) {
-    parts[index].mAt = aAt;
+    parts[index].mCoveredOffset = aCoveredOffset;
     parts[index].mIndex = index;
     parts[index].mCount = static_cast<std::uint32_t>(parts.size());
     commands.emplace_back(std::move(parts[index]));
@@ -331,8 +333,8 @@
   return commands;
 }
 
-std::optional<fold>
-snapshot_reader::Take(const log_record& aRecord)
+std::optional<replicated_state>
+snapshot_reader::AddRecord(const log_record& aRecord)
 {
   const result<command> decoded = DecodeCommand(aRecord.mData);
   if (!decoded) {
@@ -342,18 +344,18 @@
   if (part == nullptr) {
     return std::nullopt;
   }
-  auto& parts = mParts[part->mAt];
+  auto& parts = mParts[part->mCoveredOffset];
   parts[part->mIndex] = part->mEntries;
   if (parts.size() != part->mCount) {
     return std::nullopt;
   }
   std::vector<std::string> entries;
-  for (auto& [index, some] : parts) {
-    std::move(some.begin(), some.end(), std::back_inserter(entries));
+  for (auto& [index, partEntries] : parts) {
+    std::move(partEntries.begin(), partEntries.end(), std::back_inserter(entries));
   }
-  const std::uint64_t at = part->mAt;
+  const std::uint64_t at = part->mCoveredOffset;
   mParts.erase(mParts.begin(), mParts.upper_bound(at));
-  result<fold> loaded = fold::FromSnapshot(at, entries);
+  result<replicated_state> loaded = replicated_state::FromSnapshot(at, entries);
   return loaded ? std::optional(std::move(loaded.value())) : std::nullopt;
 }
 
--- a/src/resources/fold_base.h
+++ b/src/resources/replicated_state_base.h
@@ -1,5 +1,5 @@
 /**
- * @file fold_base.h
+ * @file replicated_state_base.h
  * The fold: the state that every daemon computes from the log, record by record. It's the only
  * shared state of the router; equal prefixes of the log give equal states.
  */
@@ -40,27 +40,27 @@
 /** Keys may be this much ahead of the log's clock. */
 inline constexpr std::int64_t kClockSkewMs = 30'000;
 /** Write ids remembered; a repeat that comes later is met by the version check. */
-inline constexpr std::size_t kMaxOutcomes = 4096;
+inline constexpr std::size_t kMaxWriteOutcomes = 4096;
 
 /** State after a prefix of the log. */
-class fold
+class replicated_state
 {
 public:
   /**
    * Tests a command against the state without changing it.
    * @return nothing if Apply() would accept it, else why not.
    */
-  result<void> Test(const command& aCommand) const;
+  result<void> Validate(const command& aCommand) const;
 
   /**
    * Applies the next record: tests its command, then executes it. A record that can't be read or
    * fails its test changes nothing but the offset.
-   * @pre aRecord.mOffset == Next().
+   * @pre aRecord.mOffset == NextOffset().
    */
   void Apply(const log_record& aRecord);
 
   /** @return the offset of the next record to apply, from 1. */
-  std::uint64_t Next() const { return mNext; }
+  std::uint64_t NextOffset() const { return mNextOffset; }
   /** @return the log's time of the last record applied, in milliseconds since 1970. */
   std::int64_t TimeMs() const { return mTimeMs; }
 
@@ -86,36 +86,38 @@
 
   /** @return the state as entries of a snapshot; equal states give equal entries. */
   std::vector<std::string> SnapshotEntries() const;
-  /** @return the state of a snapshot, or eBadRequest. @param aAt the offset it covers. */
-  static result<fold> FromSnapshot(std::uint64_t aAt, const std::vector<std::string>& aEntries);
+  /** @return the state of a snapshot, or eBadRequest. @param aCoveredOffset the offset it covers.
+   */
+  static result<replicated_state> FromSnapshot(std::uint64_t aCoveredOffset,
+                                               const std::vector<std::string>& aEntries);
 
 private:
-  result<void> Test(const put_command& aCommand) const;
-  result<void> Test(const delete_command& aCommand) const;
-  result<void> Test(const claim_command& aCommand) const;
-  result<void> Test(const release_command& aCommand) const;
-  result<void> Test(const snapshot_command& aCommand) const;
-  result<void> TestVersion(const resource_key& aKey, std::uint64_t aExpected) const;
+  result<void> Validate(const put_command& aCommand) const;
+  result<void> Validate(const delete_command& aCommand) const;
+  result<void> Validate(const claim_command& aCommand) const;
+  result<void> Validate(const release_command& aCommand) const;
+  result<void> Validate(const snapshot_command& aCommand) const;
+  result<void> ValidateVersion(const resource_key& aKey, std::uint64_t aExpectedVersion) const;
 
   void Execute(const put_command& aCommand, const log_record& aRecord);
   void Execute(const delete_command& aCommand, const log_record& aRecord);
   void Execute(const claim_command& aCommand, const log_record& aRecord);
   void Execute(const release_command& aCommand, const log_record& aRecord);
   void Execute(const snapshot_command& aCommand, const log_record& aRecord);
-  void NoteOutcome(const std::string& aWriteId, const write_outcome& aOutcome);
+  void RecordOutcome(const std::string& aWriteId, const write_outcome& aOutcome);
   void ExpireClaims();
   result<void> LoadEntry(const nlohmann::json& aEntry);
 
-  std::uint64_t mNext = 1;                     ///< Offset of the next record; never goes down.
+  std::uint64_t mNextOffset = 1;               ///< Offset of the next record; never goes down.
   std::int64_t mTimeMs = 0;                    ///< Log's time of the last record; never goes down.
   std::map<resource_key, resource> mResources; ///< Resources in force.
   std::map<std::string, claim> mClaims;        ///< Keys claimed within the window.
   std::deque<std::string> mClaimOrder;         ///< Keys of mClaims in log order.
-  std::unordered_map<std::string, write_outcome> mOutcomes; ///< By write id.
-  std::deque<std::string> mOutcomeOrder;                    ///< Keys of mOutcomes, oldest first.
-  std::uint64_t mLastSnapshot = 0; ///< Offset covered by the newest whole snapshot seen.
-  std::uint64_t mPartsAt = 0;      ///< Snapshot whose parts are being counted.
-  std::uint32_t mPartsSeen = 0;    ///< Parts of it seen in order.
+  std::unordered_map<std::string, write_outcome> mWriteOutcomes; ///< By write id.
+  std::deque<std::string> mOutcomeOrder;   ///< Keys of mWriteOutcomes, oldest first.
+  std::uint64_t mLastSnapshot = 0;         ///< Offset covered by the newest whole snapshot seen.
+  std::uint64_t mPartialSnapshot = 0;      ///< Snapshot whose parts are being counted.
+  std::uint32_t mPartialSnapshotParts = 0; ///< Parts of it seen in order.
 };
 
 /**
@@ -123,14 +125,16 @@
  * @param aMaxBytes largest sum of entries in one command.
  */
 std::vector<command>
-SplitSnapshot(std::uint64_t aAt, std::vector<std::string> aEntries, std::size_t aMaxBytes);
+SplitSnapshot(std::uint64_t aCoveredOffset,
+              std::vector<std::string> aEntries,
+              std::size_t aMaxBytes);
 
 /** Gathers the parts of snapshots from records until one is whole. */
 class snapshot_reader
 {
 public:
   /** @return the state of a snapshot that @p aRecord made whole. */
-  std::optional<fold> Take(const log_record& aRecord);
+  std::optional<replicated_state> AddRecord(const log_record& aRecord);
 
 private:
   std::map<std::uint64_t, std::map<std::uint32_t, std::vector<std::string>>> mParts; ///< By offset.
--- a/src/resources/resource.cpp
+++ b/src/resources/resource.cpp
@@ -34,7 +34,7 @@
   template<typename T>
   void operator()(const char* aName, T& aField)
   {
-    mKnown.insert(aName);
+    mKnownFields.insert(aName);
     const auto found = mJson.find(aName);
     if (found != mJson.end()) {
       Read(aName, *found, aField);
@@ -45,7 +45,7 @@
   void ReportUnknown()
   {
     for (const auto& item : mJson.items()) {
-      if (!mKnown.contains(item.key())) {
+      if (!mKnownFields.contains(item.key())) {
         Report(item.key(), "unknown field");
       }
     }
@@ -106,9 +106,9 @@
     mFindings.push_back({ Join("spec.", aName), std::move(aMessage) });
   }
 
-  const nlohmann::json& mJson;  ///< The object.
-  finding_list& mFindings;      ///< Takes the faults.
-  std::set<std::string> mKnown; ///< Names of the fields seen.
+  const nlohmann::json& mJson;        ///< The object.
+  finding_list& mFindings;            ///< Takes the faults.
+  std::set<std::string> mKnownFields; ///< Names of the fields seen.
 };
 
 /** Writes the fields of one spec into a JSON object. */
@@ -126,9 +126,9 @@
 };
 
 void
-Require(bool aHolds, const char* aField, const char* aMessage, finding_list& aFindings)
+Require(bool aIsValid, const char* aField, const char* aMessage, finding_list& aFindings)
 {
-  if (!aHolds) {
+  if (!aIsValid) {
     aFindings.push_back({ Join("spec.", aField), aMessage });
   }
 }
@@ -262,7 +262,7 @@
 SpecToJson(const resource_spec& aSpec)
 {
   field_writer writer;
-  std::visit([&writer](const auto& aOne) { VisitFields(aOne, writer); }, aSpec);
+  std::visit([&writer](const auto& aTyped) { VisitFields(aTyped, writer); }, aSpec);
   return writer.mJson;
 }
 
--- a/tests/unit/claim_model_test.cpp
+++ b/tests/unit/claim_model_test.cpp
@@ -39,7 +39,7 @@
   call_phase mPhase = call_phase::eClaiming; ///< How far it has come.
   int mAppends = 0;                          ///< Claims appended.
   int mRestarts = 0;                         ///< Times it was replaced.
-  fold mState;                               ///< What it has folded.
+  replicated_state mState;                   ///< What it has folded.
 };
 
 /** A state of the whole system. */
@@ -48,7 +48,7 @@
   std::vector<log_record> mLog;         ///< The platform's log.
   std::array<model_daemon, 2> mDaemons; ///< The daemons.
   std::set<attempt_id> mRuns;           ///< Calls that ran.
-  std::set<attempt_id> mSaidNotRun;     ///< Calls whose callers were told "not run".
+  std::set<attempt_id> mReportedNotRun; ///< Calls whose callers were told "not run".
   int mRunCount = 0;                    ///< Runs under the key.
 };
 
@@ -63,7 +63,7 @@
 
   void Explore(const model_state& aState)
   {
-    if (mViolations > 0 || !mSeen.insert(HashBytes(Describe(aState))).second) {
+    if (mViolations > 0 || !mVisited.insert(HashBytes(Describe(aState))).second) {
       return;
     }
     Check(aState);
@@ -76,7 +76,7 @@
     }
   }
 
-  std::size_t States() const { return mSeen.size(); }
+  std::size_t VisitedStates() const { return mVisited.size(); }
   int Violations() const { return mViolations; }
 
 private:
@@ -109,10 +109,10 @@
 
   bool Read(model_state& aState, model_daemon& aDaemon)
   {
-    if (aDaemon.mState.Next() > aState.mLog.size()) {
+    if (aDaemon.mState.NextOffset() > aState.mLog.size()) {
       return false;
     }
-    aDaemon.mState.Apply(aState.mLog[aDaemon.mState.Next() - 1]);
+    aDaemon.mState.Apply(aState.mLog[aDaemon.mState.NextOffset() - 1]);
     return true;
   }
 
@@ -142,7 +142,7 @@
       return false;
     }
     aDaemon.mPhase = call_phase::eNotRun;
-    aState.mSaidNotRun.insert(aDaemon.mAttempt);
+    aState.mReportedNotRun.insert(aDaemon.mAttempt);
     AppendRecord(aState, release_command{ kKey, aDaemon.mAttempt });
     return true;
   }
@@ -163,11 +163,11 @@
 
   void Check(const model_state& aState)
   {
-    bool lied = false;
-    for (const attempt_id& attempt : aState.mSaidNotRun) {
-      lied = lied || aState.mRuns.contains(attempt);
+    bool wronglyReported = false;
+    for (const attempt_id& attempt : aState.mReportedNotRun) {
+      wronglyReported = wronglyReported || aState.mRuns.contains(attempt);
     }
-    mViolations += aState.mRunCount > 1 || lied ? 1 : 0;
+    mViolations += aState.mRunCount > 1 || wronglyReported ? 1 : 0;
   }
 
   static std::string Describe(const model_state& aState)
@@ -178,14 +178,14 @@
     }
     for (const model_daemon& one : aState.mDaemons) {
       text += ToText(one.mAttempt) + ":" + std::to_string(static_cast<int>(one.mPhase)) + ":" +
-              std::to_string(one.mAppends) + ":" + std::to_string(one.mState.Next()) + ";";
+              std::to_string(one.mAppends) + ":" + std::to_string(one.mState.NextOffset()) + ";";
     }
     return text;
   }
 
-  bool mChecksIncarnation;                 ///< Whether the rule is the real one.
-  std::unordered_set<std::uint64_t> mSeen; ///< Hashes of the states met.
-  int mViolations = 0;                     ///< Invariants broken.
+  bool mChecksIncarnation;                    ///< Whether the rule is the real one.
+  std::unordered_set<std::uint64_t> mVisited; ///< Hashes of the states met.
+  int mViolations = 0;                        ///< Invariants broken.
 };
 
 model_state
@@ -207,7 +207,7 @@
   model checked(true);
   checked.Explore(Start());
   LONGS_EQUAL(0, checked.Violations());
-  CHECK_TRUE(checked.States() > 10000);
+  CHECK_TRUE(checked.VisitedStates() > 10000);
 }
 
 TEST(claim_model, WithoutTheIncarnationCheckTheFaultIsFound)
--- a/tests/unit/decide_test.cpp
+++ b/tests/unit/decide_test.cpp
@@ -209,7 +209,7 @@
   cell.Arrive(1, 6000, BatchTargets());
   cell.FinishPrefill(1, 20 * chunk);
   const duration declared = LinkBacklog(cell.mCore.State(), 1, request_stage::eReady);
-  for (int piece = 0; piece < 10; ++piece) {
+  for (int index = 0; index < 10; ++index) {
     cell.mNow += 100ms;
     cell.FinishChunk(1);
   }
--- a/tests/unit/follower_test.cpp
+++ b/tests/unit/follower_test.cpp
@@ -223,15 +223,15 @@
   peer.mSnapshotTime = 7s;
   bed.StartBeside(peer.Address());
   const instant began = Now();
-  while (bed.mFollower.State().Next() < kAhead && Now() - began < 20s) {
+  while (bed.mFollower.State().NextOffset() < kAhead && Now() - began < 20s) {
     bed.Run(50ms);
   }
   UT_PRINT(StringFromFormat("next %d after %d ms: %d snapshots asked for, %d sent whole",
-                            static_cast<int>(bed.mFollower.State().Next()),
+                            static_cast<int>(bed.mFollower.State().NextOffset()),
                             static_cast<int>((Now() - began).count() / 1000),
                             peer.mSnapshotCalls,
                             peer.mSnapshotsWhole));
-  LONGS_EQUAL(kAhead, bed.mFollower.State().Next());
+  LONGS_EQUAL(kAhead, bed.mFollower.State().NextOffset());
   LONGS_EQUAL(2, peer.mSnapshotCalls);
   LONGS_EQUAL(1, peer.mSnapshotsWhole);
 }
--- a/tests/unit/fold_test.cpp
+++ b/tests/unit/replicated_state_test.cpp
@@ -1,9 +1,9 @@
 /**
- * @file fold_test.cpp
+ * @file replicated_state_test.cpp
  * The fold: equal logs give equal states, repeats fold once, one of two racing writers wins, and
  * snapshots are as good as the records they cover.
  */
-#include "resources/fold_base.h"
+#include "resources/replicated_state_base.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -21,9 +21,9 @@
   {
     mRecords.push_back({ mRecords.size() + 1, mTimeMs, EncodeCommand(aCommand) });
   }
-  fold Fold(std::size_t aCount = SIZE_MAX) const
+  replicated_state Replay(std::size_t aCount = SIZE_MAX) const
   {
-    fold state;
+    replicated_state state;
     for (std::size_t at = 0; at < std::min(aCount, mRecords.size()); ++at) {
       state.Apply(mRecords[at]);
     }
@@ -41,59 +41,59 @@
 
 } // namespace
 
-TEST_GROUP(fold_group){};
+TEST_GROUP(replicated_state_group){};
 
-TEST(fold_group, OneOfTwoRacingWritersWinsAndTheOtherIsTold)
+TEST(replicated_state_group, OneOfTwoRacingWritersWinsAndTheOtherGetsAConflict)
 {
   fake_log log;
   log.Append(PutLink("a", 0, 1));
   log.Append(PutLink("b", 0, 2));
-  const fold state = log.Fold();
+  const replicated_state state = log.Replay();
   CHECK_FALSE(static_cast<bool>(state.OutcomeOf("a")->mError));
   CHECK_TRUE(state.OutcomeOf("b")->mError == errc::eVersionConflict);
   LONGS_EQUAL(1, state.FindSpec<link_spec>(resource_kind::eLink, "l")->mBytesPerSecond);
 }
 
-TEST(fold_group, ARepeatedAppendFoldsOnce)
+TEST(replicated_state_group, ARepeatedAppendIsExecutedOnce)
 {
   fake_log log;
   log.Append(PutLink("a", 0, 1));
   log.Append(PutLink("a", 0, 1));
-  const fold state = log.Fold();
+  const replicated_state state = log.Replay();
   CHECK_FALSE(static_cast<bool>(state.OutcomeOf("a")->mError));
   LONGS_EQUAL(1, state.Find({ resource_kind::eLink, "l" })->mVersion);
 }
 
-TEST(fold_group, TheFirstClaimWinsAndOnlyItsHolderReleasesIt)
+TEST(replicated_state_group, TheFirstClaimWinsAndOnlyItsHolderReleasesIt)
 {
   fake_log log;
   log.Append(claim_command{ "k", kFirst });
   log.Append(claim_command{ "k", kSecond });
   log.Append(release_command{ "k", kSecond });
-  CHECK_TRUE(log.Fold().ClaimOf("k")->mAttempt == kFirst);
+  CHECK_TRUE(log.Replay().ClaimOf("k")->mAttempt == kFirst);
   log.Append(release_command{ "k", kFirst });
   log.Append(claim_command{ "k", kSecond });
-  CHECK_TRUE(log.Fold().ClaimOf("k")->mAttempt == kSecond);
+  CHECK_TRUE(log.Replay().ClaimOf("k")->mAttempt == kSecond);
 }
 
-TEST(fold_group, ClaimsOutliveTheWindowInWhichTheirKeysAreTaken)
+TEST(replicated_state_group, ClaimsOutliveTheWindowInWhichTheirKeysAreAccepted)
 {
   fake_log log;
   log.Append(claim_command{ "k", kFirst });
   log.mTimeMs += kClaimWindowMs + kClockSkewMs;
   log.Append(PutLink("a", 0));
-  CHECK_TRUE(log.Fold().ClaimOf("k").has_value());
+  CHECK_TRUE(log.Replay().ClaimOf("k").has_value());
   log.mTimeMs += 2 * kClockSkewMs;
   log.Append(PutLink("b", 2));
-  CHECK_FALSE(log.Fold().ClaimOf("k").has_value());
+  CHECK_FALSE(log.Replay().ClaimOf("k").has_value());
 }
 
-TEST(fold_group, ASnapshotAndTheTailGiveTheStateOfTheWholeLog)
+TEST(replicated_state_group, ASnapshotAndTheTailGiveTheStateOfTheWholeLog)
 {
   fake_log log;
   log.Append(PutLink("a", 0, 1));
   log.Append(claim_command{ "k", kFirst });
-  const fold early = log.Fold();
+  const replicated_state early = log.Replay();
   for (const command& part : SplitSnapshot(2, early.SnapshotEntries(), 40)) {
     log.Append(part);
   }
@@ -101,45 +101,45 @@
   CHECK_TRUE(log.mRecords.size() > 4);
 
   snapshot_reader reader;
-  std::optional<fold> state;
+  std::optional<replicated_state> state;
   for (std::size_t at = 2; at < log.mRecords.size(); ++at) {
-    if (std::optional<fold> loaded = reader.Take(log.mRecords[at])) {
+    if (std::optional<replicated_state> loaded = reader.AddRecord(log.mRecords[at])) {
       state = std::move(loaded);
     }
   }
   CHECK_TRUE(state.has_value());
-  LONGS_EQUAL(3, state->Next());
+  LONGS_EQUAL(3, state->NextOffset());
   for (std::size_t at = 2; at < log.mRecords.size(); ++at) {
     state->Apply(log.mRecords[at]);
   }
-  CHECK_TRUE(state->Digest() == log.Fold().Digest());
+  CHECK_TRUE(state->Digest() == log.Replay().Digest());
   LONGS_EQUAL(2, state->LastSnapshot());
 }
 
-TEST(fold_group, TwoSnapshotsOfTheSameOffsetAreEqual)
+TEST(replicated_state_group, TwoSnapshotsOfTheSameOffsetAreEqual)
 {
   fake_log log;
   log.Append(PutLink("a", 0, 1));
   log.Append(claim_command{ "k", kFirst });
-  CHECK_TRUE(log.Fold().SnapshotEntries() == log.Fold().SnapshotEntries());
+  CHECK_TRUE(log.Replay().SnapshotEntries() == log.Replay().SnapshotEntries());
 }
 
-TEST(fold_group, ARecordThatCantBeReadChangesNothingButTheOffset)
+TEST(replicated_state_group, ARecordThatCantBeReadChangesNothingButTheOffset)
 {
-  fold state;
+  replicated_state state;
   state.Apply({ 1, 5, "not json" });
   state.Apply({ 2, 5, R"({"type":"put","kind":"link"})" });
-  LONGS_EQUAL(3, state.Next());
+  LONGS_EQUAL(3, state.NextOffset());
   LONGS_EQUAL(0, state.Resources().size());
 }
 
-TEST(fold_group, DeletingNeedsTheCurrentVersion)
+TEST(replicated_state_group, DeletingNeedsTheCurrentVersion)
 {
   fake_log log;
   log.Append(PutLink("a", 0));
   log.Append(delete_command{ "b", { resource_kind::eLink, "l" }, 7 });
   log.Append(delete_command{ "c", { resource_kind::eLink, "l" }, 1 });
-  const fold state = log.Fold();
+  const replicated_state state = log.Replay();
   CHECK_TRUE(state.OutcomeOf("b")->mError == errc::eVersionConflict);
   LONGS_EQUAL(0, state.Resources().size());
 }
--- a/tests/unit/runner_test.cpp
+++ b/tests/unit/runner_test.cpp
@@ -78,7 +78,7 @@
 
 TEST(runners, ATeamsQuotaIsSharedByTheDaemons)
 {
-  fold state;
+  replicated_state state;
   state.Apply(
     { 1,
       1,
