--- a/src/resources/claim_func.h
+++ b/src/resources/claim_func.h
@@ -1,7 +1,7 @@
 /**
  * @file claim_func.h
- * Who may send a call whose idempotency key was claimed. One rule, used by the frontend and checked
- * exhaustively by the model check.
+ * The rule that decides which call may be sent under a claimed idempotency key. The frontend uses
+ * it, and the model check tests it exhaustively.
  */
 #pragma once
 
@@ -10,9 +10,9 @@
 namespace dunehook {
 
 /**
- * @return whether @p aAttempt may be sent under @p aKey: the first claim in log order is this very
- * attempt. An attempt names its daemon's run, so a daemon that was replaced doesn't take the claim
- * of its earlier run for its own.
+ * @return whether @p aAttempt may be sent under @p aKey, which is so if its claim came first in the
+ * log. An attempt contains the incarnation of its daemon, so a restarted daemon doesn't mistake the
+ * claim of its previous run for its own.
  */
 inline bool
 HoldsKey(const replicated_state& aState, const std::string& aKey, const attempt_id& aAttempt)
--- a/src/resources/command.cpp
+++ b/src/resources/command.cpp
@@ -78,7 +78,7 @@
     aJson.at("write_id").get<std::string>(), key, aJson.at("expected").get<std::uint64_t>() });
 }
 
-/** @tparam Command claim_command or release_command, which have the same members. */
+/** Decodes a claim_command or a release_command, which have the same members. */
 template<typename Command>
 result<command>
 DecodeKeyCommand(const json& aJson)
--- a/src/resources/command_type.h
+++ b/src/resources/command_type.h
@@ -1,7 +1,7 @@
 /**
  * @file command_type.h
- * Commands: the records of the log. Each is tested against the state, then executed, with the
- * same result on every daemon.
+ * Commands, which are the contents of log records. Every daemon validates each command against the
+ * replicated state and executes it, with the same result.
  */
 #pragma once
 
@@ -18,19 +18,19 @@
 /** A record of the platform's log. */
 struct log_record
 {
-  std::uint64_t mOffset = 0; ///< Place in the log, from 1, without holes.
-  std::int64_t mTimeMs = 0;  ///< When the log took it: milliseconds since 1970.
+  std::uint64_t mOffset = 0; ///< Position in the log, from 1, without gaps.
+  std::int64_t mTimeMs = 0;  ///< When the log accepted it, in milliseconds since 1970.
   std::string mData;         ///< The encoded command.
 
   auto operator<=>(const log_record&) const = default;
 };
 
-/** Writes a resource. */
+/** Creates or replaces a resource. */
 struct put_command
 {
   std::string mWriteId;               ///< Chosen by the writer; repeats of it fold once.
-  resource_key mKey;                  ///< What is written.
-  std::uint64_t mExpectedVersion = 0; ///< The version it replaces; 0 for a new resource.
+  resource_key mKey;                  ///< The resource to write.
+  std::uint64_t mExpectedVersion = 0; ///< Version that it replaces; 0 for a new resource.
   resource_spec mSpec;                ///< The new spec.
 
   auto operator<=>(const put_command&) const = default;
@@ -40,37 +40,37 @@
 struct delete_command
 {
   std::string mWriteId;               ///< Chosen by the writer; repeats of it fold once.
-  resource_key mKey;                  ///< What is deleted.
-  std::uint64_t mExpectedVersion = 0; ///< The version it deletes.
+  resource_key mKey;                  ///< The resource to delete.
+  std::uint64_t mExpectedVersion = 0; ///< Version that it deletes.
 
   auto operator<=>(const delete_command&) const = default;
 };
 
-/** Claims an idempotency key for one call of one daemon run. */
+/** Claims an idempotency key for one call of one daemon incarnation. */
 struct claim_command
 {
-  std::string mKey;    ///< The caller's key, with the team it belongs to.
-  attempt_id mAttempt; ///< The call that would run.
+  std::string mKey;    ///< The caller's key, qualified by its team.
+  attempt_id mAttempt; ///< The call that is to be sent under the key.
 
   auto operator<=>(const claim_command&) const = default;
 };
 
-/** Gives a claimed key back: its call was not sent and never will be. */
+/** Releases a claimed key, since its call was not sent and never will be. */
 struct release_command
 {
   std::string mKey;    ///< The key.
-  attempt_id mAttempt; ///< The call; only the holder can give the key back.
+  attempt_id mAttempt; ///< The call; only the holder of the claim can release it.
 
   auto operator<=>(const release_command&) const = default;
 };
 
-/** A part of the state after some record, for daemons that start later. */
+/** One part of a snapshot of the replicated state, from which daemons start. */
 struct snapshot_command
 {
-  std::uint64_t mCoveredOffset = 0;  ///< Offset of the last record the state covers.
-  std::uint32_t mIndex = 0;          ///< Which part, from 0.
-  std::uint32_t mCount = 1;          ///< How many parts.
-  std::vector<std::string> mEntries; ///< Encoded entries of the state.
+  std::uint64_t mCoveredOffset = 0;  ///< Offset of the last record that the snapshot covers.
+  std::uint32_t mIndex = 0;          ///< Index of the part, from 0.
+  std::uint32_t mCount = 1;          ///< Number of parts.
+  std::vector<std::string> mEntries; ///< Encoded entries of the part.
 
   auto operator<=>(const snapshot_command&) const = default;
 };
@@ -78,11 +78,11 @@
 using command =
   std::variant<put_command, delete_command, claim_command, release_command, snapshot_command>;
 
-/** @return the command as a log record's data. */
+/** @return the command encoded as the data of a log record. */
 std::string
 EncodeCommand(const command& aCommand);
 
-/** @return the command of a log record's data, or eBadRequest. */
+/** @return the command in the data of a log record, or eBadRequest if it can't be decoded. */
 result<command>
 DecodeCommand(std::string_view aData);
 
--- a/src/resources/replicated_state.cpp
+++ b/src/resources/replicated_state.cpp
@@ -1,6 +1,6 @@
 /**
  * @file replicated_state.cpp
- * Testing and executing of commands, and the fold's snapshots.
+ * Validation and execution of commands, and snapshots of the replicated state.
  */
 #include "resources/replicated_state_base.h"
 
@@ -107,7 +107,7 @@
     [this, &aRecord](const auto& aTyped) {
       const std::string* const writeId = WriteIdOf(aTyped);
       if (writeId != nullptr && mWriteOutcomes.contains(*writeId)) {
-        return; // A repeat of an append whose answer was lost.
+        return; // The writer repeated an append whose answer was lost.
       }
       const result<void> valid = Validate(aTyped);
       if (valid) {
@@ -178,8 +178,8 @@
 {
   while (!mClaimOrder.empty()) {
     const auto oldest = mClaims.find(mClaimOrder.front());
-    // Kept for the window and twice the skew: a key accepted by a daemon that is behind is
-    // still found here.
+    // Claims are kept for the window plus twice the allowed clock skew, so that a key which a
+    // daemon accepts while it lags behind the log is still found here.
     if (oldest->second.mTimeMs + kClaimWindowMs + 2 * kClockSkewMs > mTimeMs) {
       return;
     }
--- a/src/resources/replicated_state_base.h
+++ b/src/resources/replicated_state_base.h
@@ -1,7 +1,7 @@
 /**
  * @file replicated_state_base.h
- * The fold: the state that every daemon computes from the log, record by record. It's the only
- * shared state of the router; equal prefixes of the log give equal states.
+ * The replicated state that every daemon computes from the platform's log, record by record. It's
+ * the only shared state of the router; equal prefixes of the log give equal states.
  */
 #pragma once
 
@@ -16,52 +16,54 @@
 
 namespace dunehook {
 
-/** What became of a write. */
+/** Result of a write. */
 struct write_outcome
 {
   std::error_code mError;     ///< Empty if the write was accepted.
-  std::uint64_t mVersion = 0; ///< The resource's version after the record.
+  std::uint64_t mVersion = 0; ///< Version of the resource after the write; 0 if it was rejected.
 
   bool operator==(const write_outcome&) const = default;
 };
 
-/** An idempotency key held by a call. */
+/** Claim of a call on an idempotency key. */
 struct claim
 {
-  attempt_id mAttempt;       ///< The first claim in log order.
-  std::uint64_t mOffset = 0; ///< Where it stands in the log.
-  std::int64_t mTimeMs = 0;  ///< The log's time of that record.
+  attempt_id mAttempt;       ///< The call whose claim came first in the log.
+  std::uint64_t mOffset = 0; ///< Offset of the claim's record.
+  std::int64_t mTimeMs = 0;  ///< Time the log gave to that record, in milliseconds since 1970.
 
   auto operator<=>(const claim&) const = default;
 };
 
-/** Longest time a claim is kept, by the log's own clock. Keys older than this are refused. */
+/** Oldest age in milliseconds, by the log's clock, at which an idempotency key is accepted. */
 inline constexpr std::int64_t kClaimWindowMs = 600'000;
-/** Keys may be this much ahead of the log's clock. */
+/** Milliseconds that an idempotency key may be ahead of the log's clock. */
 inline constexpr std::int64_t kClockSkewMs = 30'000;
-/** Write ids remembered; a repeat that comes later is met by the version check. */
+/** Most write ids remembered; the version check rejects a repeat that comes later. */
 inline constexpr std::size_t kMaxWriteOutcomes = 4096;
 
-/** State after a prefix of the log. */
+/** State after all records of the log up to some offset were applied. */
 class replicated_state
 {
 public:
   /**
-   * Tests a command against the state without changing it.
-   * @return nothing if Apply() would accept it, else why not.
+   * Checks whether a command is valid in this state.
+   * @return success if Apply() would execute it, else the reason why not.
    */
   result<void> Validate(const command& aCommand) const;
 
   /**
-   * Applies the next record: tests its command, then executes it. A record that can't be read or
-   * fails its test changes nothing but the offset.
+   * Applies the next record: validates its command, then executes it. A record that can't be
+   * decoded changes only the offset, the time and the claims that expire by it; the result of an
+   * invalid write is recorded as well.
    * @pre aRecord.mOffset == NextOffset().
    */
   void Apply(const log_record& aRecord);
 
   /** @return the offset of the next record to apply, from 1. */
   std::uint64_t NextOffset() const { return mNextOffset; }
-  /** @return the log's time of the last record applied, in milliseconds since 1970. */
+  /** @return the latest time of the records applied, in milliseconds since 1970 by the log's clock.
+   */
   std::int64_t TimeMs() const { return mTimeMs; }
 
   const std::map<resource_key, resource>& Resources() const { return mResources; }
@@ -74,19 +76,21 @@
     const resource* const found = Find({ aKind, aName });
     return found == nullptr ? nullptr : std::get_if<Spec>(&found->mSpec);
   }
-  /** @return what became of a write, if its record was applied lately. */
+  /** @return the result of a write, if it's among the last kMaxWriteOutcomes. */
   std::optional<write_outcome> OutcomeOf(const std::string& aWriteId) const;
-  /** @return who holds an idempotency key, if anyone does. */
+  /** @return the claim on an idempotency key, if there is one. */
   std::optional<claim> ClaimOf(const std::string& aKey) const;
   std::size_t ClaimCount() const { return mClaims.size(); }
-  /** @return offset covered by the newest whole snapshot seen in the log; 0 if none. */
+  /** @return the offset covered by the newest complete snapshot in the log; 0 if none. */
   std::uint64_t LastSnapshot() const { return mLastSnapshot; }
-  /** @return a number that is equal for equal states. */
+  /** @return a hash of the state; equal states have equal hashes. */
   std::uint64_t Digest() const;
 
   /** @return the state as entries of a snapshot; equal states give equal entries. */
   std::vector<std::string> SnapshotEntries() const;
-  /** @return the state of a snapshot, or eBadRequest. @param aCoveredOffset the offset it covers.
+  /**
+   * @param aCoveredOffset offset of the last record that the snapshot covers.
+   * @return the state of the snapshot, or eBadRequest if an entry can't be read.
    */
   static result<replicated_state> FromSnapshot(std::uint64_t aCoveredOffset,
                                                const std::vector<std::string>& aEntries);
@@ -108,36 +112,40 @@
   void ExpireClaims();
   result<void> LoadEntry(const nlohmann::json& aEntry);
 
-  std::uint64_t mNextOffset = 1;               ///< Offset of the next record; never goes down.
-  std::int64_t mTimeMs = 0;                    ///< Log's time of the last record; never goes down.
-  std::map<resource_key, resource> mResources; ///< Resources in force.
-  std::map<std::string, claim> mClaims;        ///< Keys claimed within the window.
-  std::deque<std::string> mClaimOrder;         ///< Keys of mClaims in log order.
-  std::unordered_map<std::string, write_outcome> mWriteOutcomes; ///< By write id.
-  std::deque<std::string> mOutcomeOrder;   ///< Keys of mWriteOutcomes, oldest first.
-  std::uint64_t mLastSnapshot = 0;         ///< Offset covered by the newest whole snapshot seen.
-  std::uint64_t mPartialSnapshot = 0;      ///< Snapshot whose parts are being counted.
-  std::uint32_t mPartialSnapshotParts = 0; ///< Parts of it seen in order.
+  std::uint64_t mNextOffset = 1; ///< Offset of the next record; never decreases.
+  std::int64_t mTimeMs = 0;      ///< Latest time of the records applied; never decreases.
+  std::map<resource_key, resource> mResources; ///< Current resources.
+  std::map<std::string, claim>
+    mClaims;                           ///< Claims that haven't expired, by key; see ExpireClaims().
+  std::deque<std::string> mClaimOrder; ///< Keys of mClaims in log order.
+  std::unordered_map<std::string, write_outcome>
+    mWriteOutcomes;                      ///< Results of recent writes, by write id.
+  std::deque<std::string> mOutcomeOrder; ///< Keys of mWriteOutcomes, oldest first.
+  std::uint64_t mLastSnapshot = 0;       ///< Offset covered by the newest complete snapshot.
+  std::uint64_t mPartialSnapshot = 0; ///< Offset covered by the snapshot whose parts are arriving.
+  std::uint32_t mPartialSnapshotParts = 0; ///< Parts of it that have arrived in sequence.
 };
 
 /**
  * Splits a snapshot into commands small enough for the log.
- * @param aMaxBytes largest sum of entries in one command.
+ * @param aCoveredOffset offset of the last record that the snapshot covers.
+ * @param aMaxBytes largest total size of the entries in one command; a larger entry gets its own.
  */
 std::vector<command>
 SplitSnapshot(std::uint64_t aCoveredOffset,
               std::vector<std::string> aEntries,
               std::size_t aMaxBytes);
 
-/** Gathers the parts of snapshots from records until one is whole. */
+/** Collects the parts of snapshots from log records until one is complete. */
 class snapshot_reader
 {
 public:
-  /** @return the state of a snapshot that @p aRecord made whole. */
+  /** Adds the record's part, if it has one. @return the state of the snapshot that it completes. */
   std::optional<replicated_state> AddRecord(const log_record& aRecord);
 
 private:
-  std::map<std::uint64_t, std::map<std::uint32_t, std::vector<std::string>>> mParts; ///< By offset.
+  std::map<std::uint64_t, std::map<std::uint32_t, std::vector<std::string>>>
+    mParts; ///< Parts by the covered offset and by their index.
 };
 
 } // namespace dunehook
--- a/src/resources/resource.cpp
+++ b/src/resources/resource.cpp
@@ -1,6 +1,6 @@
 /**
  * @file resource.cpp
- * Names of kinds and roles; reading, checking and writing of specs.
+ * Names of kinds and roles; parsing, validation and serialization of specs.
  */
 #include "resources/resource_type.h"
 
@@ -21,7 +21,7 @@
 };
 constexpr std::array<std::string_view, 3> kRoleNames{ "prefill", "decode", "service" };
 
-/** Reads the fields of one spec from a JSON object and collects what is wrong with them. */
+/** Reads the fields of a spec from a JSON object and collects the errors. */
 class field_reader
 {
 public:
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Reports every key that no field has. */
+  /** Reports every key that isn't a field of the spec. */
   void ReportUnknown()
   {
     for (const auto& item : mJson.items()) {
@@ -106,12 +106,12 @@
     mFindings.push_back({ Join("spec.", aName), std::move(aMessage) });
   }
 
-  const nlohmann::json& mJson;        ///< The object.
-  finding_list& mFindings;            ///< Takes the faults.
-  std::set<std::string> mKnownFields; ///< Names of the fields seen.
+  const nlohmann::json& mJson;        ///< The object to read.
+  finding_list& mFindings;            ///< Receives the errors.
+  std::set<std::string> mKnownFields; ///< Names of the spec's fields.
 };
 
-/** Writes the fields of one spec into a JSON object. */
+/** Writes the fields of a spec into a JSON object. */
 class field_writer
 {
 public:
@@ -122,7 +122,7 @@
   }
   void operator()(const char* aName, const runner_role& aField) { mJson[aName] = RoleName(aField); }
 
-  nlohmann::json mJson = nlohmann::json::object(); ///< The object.
+  nlohmann::json mJson = nlohmann::json::object(); ///< The object written so far.
 };
 
 void
--- a/src/resources/spec_fields.h
+++ b/src/resources/spec_fields.h
@@ -1,7 +1,7 @@
 /**
  * @file spec_fields.h
- * The fields of each spec, listed once: reading and writing JSON both walk these lists, so they
- * can't disagree.
+ * Lists the fields of each spec once. Reading and writing JSON both use these lists, so they can't
+ * disagree.
  */
 #pragma once
 
--- a/tests/unit/claim_model_test.cpp
+++ b/tests/unit/claim_model_test.cpp
@@ -1,9 +1,9 @@
 /**
  * @file claim_model_test.cpp
- * Exhaustive check of the claim protocol over the real fold: two daemons, a caller that retries, a
- * lost append answer, a daemon that may be frozen at any step (its steps come at any time) and
- * replaced once. Every interleaving within small bounds is run. Invariants: a call under one key
- * runs at most once, and a call that was said not to have run never runs.
+ * Exhaustive check of the claim protocol on the real replicated state. The model has two daemons, a
+ * caller that retries, an append whose answer is lost, and a daemon that may pause before any step
+ * and is restarted once. Every interleaving within these bounds is explored. Invariants: at most
+ * one call runs under a key, and a call that was reported as not run never runs.
  */
 #include "core/hash_func.h"
 #include "resources/claim_func.h"
@@ -18,41 +18,41 @@
 namespace {
 
 const std::string kKey = "team/route/key";
-/** Appends of one call at each daemon; the second is the repeat after a lost answer. */
+/** Most appends of one call by each daemon; the second is the repeat after a lost answer. */
 constexpr std::array<int, 2> kMaxAppends{ 2, 1 };
-/** Replacements of each daemon. */
+/** Most restarts of each daemon. */
 constexpr std::array<int, 2> kMaxRestarts{ 1, 0 };
 
-/** How far a daemon's call has come. */
+/** Phase of a daemon's call. */
 enum class call_phase
 {
-  eClaiming, ///< It may append its claim, read on, send, or give up.
-  eSent,     ///< Sent once.
-  eNotRun,   ///< The caller was told that it did not run.
+  eClaiming, ///< The daemon may append the claim, read the log, send the call or give up.
+  eSent,     ///< The call was sent.
+  eNotRun,   ///< The caller was told that the call did not run.
 };
 
 /** A daemon with one call under the key. */
 struct model_daemon
 {
-  std::size_t mIndex = 0;                    ///< Which daemon.
+  std::size_t mIndex = 0;                    ///< Index of the daemon.
   attempt_id mAttempt;                       ///< Its call.
-  call_phase mPhase = call_phase::eClaiming; ///< How far it has come.
-  int mAppends = 0;                          ///< Claims appended.
-  int mRestarts = 0;                         ///< Times it was replaced.
-  replicated_state mState;                   ///< What it has folded.
+  call_phase mPhase = call_phase::eClaiming; ///< Phase of the call.
+  int mAppends = 0;                          ///< Claims appended by this run of the daemon.
+  int mRestarts = 0;                         ///< Restarts so far.
+  replicated_state mState;                   ///< State after the records that it has read.
 };
 
-/** A state of the whole system. */
+/** State of the log, both daemons and the calls. */
 struct model_state
 {
   std::vector<log_record> mLog;         ///< The platform's log.
   std::array<model_daemon, 2> mDaemons; ///< The daemons.
   std::set<attempt_id> mRuns;           ///< Calls that ran.
-  std::set<attempt_id> mReportedNotRun; ///< Calls whose callers were told "not run".
-  int mRunCount = 0;                    ///< Runs under the key.
+  std::set<attempt_id> mReportedNotRun; ///< Calls reported as not run.
+  int mRunCount = 0;                    ///< Number of runs under the key.
 };
 
-/** Walks all interleavings. */
+/** Explores all interleavings of the daemons' steps. */
 class model
 {
 public:
@@ -95,7 +95,7 @@
     aState.mLog.push_back({ aState.mLog.size() + 1, 1000, EncodeCommand(aCommand) });
   }
 
-  /** Appends the claim; whether its answer is lost makes no difference to what may follow. */
+  /** Appends the claim. A lost answer allows the same next steps, so it isn't modelled apart. */
   bool Append(model_state& aState, model_daemon& aDaemon)
   {
     if (aDaemon.mPhase != call_phase::eClaiming ||
@@ -132,7 +132,7 @@
     if (mChecksIncarnation) {
       return HoldsKey(aDaemon.mState, kKey, aDaemon.mAttempt);
     }
-    const auto held = aDaemon.mState.ClaimOf(kKey); // The mechanism switched off.
+    const auto held = aDaemon.mState.ClaimOf(kKey); // The rule without the incarnation check.
     return held && held->mAttempt.mCounter == aDaemon.mAttempt.mCounter;
   }
 
@@ -147,7 +147,7 @@
     return true;
   }
 
-  /** The process is replaced: a new run that knows nothing takes the caller's retry. */
+  /** Restarts the daemon: the new run has an empty state and handles the caller's retry. */
   bool Replace(model_state& /*aState*/, model_daemon& aDaemon)
   {
     if (aDaemon.mRestarts >= kMaxRestarts[aDaemon.mIndex]) {
@@ -183,9 +183,9 @@
     return text;
   }
 
-  bool mChecksIncarnation;                    ///< Whether the rule is the real one.
-  std::unordered_set<std::uint64_t> mVisited; ///< Hashes of the states met.
-  int mViolations = 0;                        ///< Invariants broken.
+  bool mChecksIncarnation; ///< Whether to use HoldsKey(), which compares the incarnation too.
+  std::unordered_set<std::uint64_t> mVisited; ///< Hashes of the states explored.
+  int mViolations = 0;                        ///< States that violate an invariant.
 };
 
 model_state
--- a/tests/unit/replicated_state_test.cpp
+++ b/tests/unit/replicated_state_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file replicated_state_test.cpp
- * The fold: equal logs give equal states, repeats fold once, one of two racing writers wins, and
- * snapshots are as good as the records they cover.
+ * The replicated state: equal logs give equal states, a repeated write is executed once, one of two
+ * racing writers wins, and a snapshot is equivalent to the records that it covers.
  */
 #include "resources/replicated_state_base.h"
 
@@ -14,7 +14,7 @@
 const attempt_id kFirst{ { 11 }, 1 };
 const attempt_id kSecond{ { 22 }, 1 };
 
-/** A log that hands out offsets and a clock. */
+/** A log in memory that assigns offsets and has a clock set by the test. */
 struct fake_log
 {
   void Append(const command& aCommand)
@@ -29,8 +29,8 @@
     }
     return state;
   }
-  std::vector<log_record> mRecords; ///< The log.
-  std::int64_t mTimeMs = 1000;      ///< Its clock.
+  std::vector<log_record> mRecords; ///< Records appended so far.
+  std::int64_t mTimeMs = 1000;      ///< Time that the next record gets, in milliseconds.
 };
 
 put_command
--- a/tests/unit/resource_test.cpp
+++ b/tests/unit/resource_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file resource_test.cpp
- * Specs: read back as written; all faults of one are found.
+ * Specs: ParseSpec() reverses SpecToJson() and reports all errors of a spec at once.
  */
 #include "resources/resource_type.h"
 
