--- a/src/decide/prefix_index.h
+++ b/src/decide/prefix_index.h
@@ -37,8 +37,7 @@
   /** Hints of one engine. */
   struct engine_hints
   {
-    std::unordered_map<std::uint64_t, instant>
-      mLastConfirmed;                          ///< When each prefix was last confirmed.
+    std::unordered_map<std::uint64_t, instant> mLastConfirmed; ///< Last report of each hash.
     std::deque<std::uint64_t> mInsertionOrder; ///< Hashes of mLastConfirmed, first recorded first.
   };
   std::unordered_map<engine_id, engine_hints> mByEngine; ///< Hints by engine.
--- a/src/resources/replicated_state_base.h
+++ b/src/resources/replicated_state_base.h
@@ -35,7 +35,7 @@
   auto operator<=>(const claim&) const = default;
 };
 
-/** Oldest age in milliseconds, by the log's clock, at which an idempotency key is accepted. */
+/** Age in milliseconds, by the log's clock, beyond which an idempotency key is refused. */
 inline constexpr std::int64_t kClaimWindowMs = 600'000;
 /** Milliseconds that an idempotency key may be ahead of the log's clock. */
 inline constexpr std::int64_t kClockSkewMs = 30'000;
@@ -62,8 +62,7 @@
 
   /** @return the offset of the next record to apply, from 1. */
   std::uint64_t NextOffset() const { return mNextOffset; }
-  /** @return the latest time of the records applied, in milliseconds since 1970 by the log's clock.
-   */
+  /** @return the latest time of a record applied, in milliseconds since 1970 by the log's clock. */
   std::int64_t TimeMs() const { return mTimeMs; }
 
   const std::map<resource_key, resource>& Resources() const { return mResources; }
@@ -114,15 +113,13 @@
 
   std::uint64_t mNextOffset = 1; ///< Offset of the next record; never decreases.
   std::int64_t mTimeMs = 0;      ///< Latest time of the records applied; never decreases.
-  std::map<resource_key, resource> mResources; ///< Current resources.
-  std::map<std::string, claim>
-    mClaims;                           ///< Claims that haven't expired, by key; see ExpireClaims().
-  std::deque<std::string> mClaimOrder; ///< Keys of mClaims in log order.
-  std::unordered_map<std::string, write_outcome>
-    mWriteOutcomes;                      ///< Results of recent writes, by write id.
-  std::deque<std::string> mOutcomeOrder; ///< Keys of mWriteOutcomes, oldest first.
-  std::uint64_t mLastSnapshot = 0;       ///< Offset covered by the newest complete snapshot.
-  std::uint64_t mPartialSnapshot = 0; ///< Offset covered by the snapshot whose parts are arriving.
+  std::map<resource_key, resource> mResources;                   ///< Current resources.
+  std::map<std::string, claim> mClaims;                          ///< Unexpired claims, by key.
+  std::deque<std::string> mClaimOrder;                           ///< Keys of mClaims in log order.
+  std::unordered_map<std::string, write_outcome> mWriteOutcomes; ///< By write id.
+  std::deque<std::string> mOutcomeOrder;   ///< Keys of mWriteOutcomes, oldest first.
+  std::uint64_t mLastSnapshot = 0;         ///< Offset covered by the newest complete snapshot.
+  std::uint64_t mPartialSnapshot = 0;      ///< Offset of the snapshot being received.
   std::uint32_t mPartialSnapshotParts = 0; ///< Parts of it that have arrived in sequence.
 };
 
@@ -145,7 +142,7 @@
 
 private:
   std::map<std::uint64_t, std::map<std::uint32_t, std::vector<std::string>>>
-    mParts; ///< Parts by the covered offset and by their index.
+    mParts; ///< By offset and index.
 };
 
 } // namespace dunehook
--- a/src/resources/resource_type.h
+++ b/src/resources/resource_type.h
@@ -29,7 +29,7 @@
   eTeam,          ///< Quota of a caller.
 };
 
-/** All kinds, in the order of resource_kind. */
+/** All kinds, in the order of the API and of resource_kind. */
 inline constexpr std::array kResourceKinds{
   resource_kind::eRoute,        resource_kind::ePool, resource_kind::ePriorityClass,
   resource_kind::eModelVersion, resource_kind::eLink, resource_kind::eTeam,
@@ -85,10 +85,9 @@
 {
   runner_role mRole = runner_role::eService; ///< Role of its runners.
   std::uint32_t mSlots = 20;                 ///< Requests a decode runner holds at once.
-  std::uint32_t mTokensPerSecond =
-    8000;                            ///< Prompt tokens that a prefill runner processes per second.
-  std::uint32_t mKvLifetimeMs = 800; ///< How long a runner keeps a prefill result.
-  std::uint32_t mKvBytesPerToken = 131072; ///< Size of a prefill result per prompt token.
+  std::uint32_t mTokensPerSecond = 8000;     ///< Prompt tokens per second; prefill only.
+  std::uint32_t mKvLifetimeMs = 800;         ///< How long a runner keeps a prefill result.
+  std::uint32_t mKvBytesPerToken = 131072;   ///< Size of a prefill result per prompt token.
   bool mChecksFences = true; ///< Whether its runners refuse orders with a stale fence.
 
   auto operator<=>(const pool_spec&) const = default;
@@ -143,10 +142,9 @@
 /** A resource as the replicated state stores it. */
 struct resource
 {
-  resource_key mKey; ///< Its kind and name.
-  std::uint64_t mVersion =
-    0;                 ///< Offset of the record that wrote it, so it increases with each write.
-  resource_spec mSpec; ///< Its current spec.
+  resource_key mKey;          ///< Its kind and name.
+  std::uint64_t mVersion = 0; ///< Offset of its latest write, so it always increases.
+  resource_spec mSpec;        ///< Its current spec.
 
   auto operator<=>(const resource&) const = default;
 };
