--- a/src/resources/command.cpp
+++ b/src/resources/command.cpp
@@ -18,7 +18,7 @@
              { "write_id", aCommand.mWriteId },
              { "kind", KindName(aCommand.mKey.mKind) },
              { "name", aCommand.mKey.mName },
-             { "expected", aCommand.mExpected },
+             { "expected", aCommand.mExpectedVersion },
              { "spec", SpecToJson(aCommand.mSpec) } };
   }
   json operator()(const delete_command& aCommand) const
@@ -27,7 +27,7 @@
              { "write_id", aCommand.mWriteId },
              { "kind", KindName(aCommand.mKey.mKind) },
              { "name", aCommand.mKey.mName },
-             { "expected", aCommand.mExpected } };
+             { "expected", aCommand.mExpectedVersion } };
   }
   json operator()(const claim_command& aCommand) const
   {
@@ -44,7 +44,7 @@
   json operator()(const snapshot_command& aCommand) const
   {
     return { { "type", "snapshot" },
-             { "at", aCommand.mAt },
+             { "at", aCommand.mCoveredOffset },
              { "index", aCommand.mIndex },
              { "count", aCommand.mCount },
              { "entries", aCommand.mEntries } };
@@ -78,7 +78,7 @@
     aJson.at("write_id").get<std::string>(), key, aJson.at("expected").get<std::uint64_t>() });
 }
 
-/** @tparam Command claim_command or release_command, which have the same members. */
+/** Decodes a claim_command or a release_command, which have the same members. */
 template<typename Command>
 result<command>
 DecodeKeyCommand(const json& aJson)
--- a/src/resources/resource.cpp
+++ b/src/resources/resource.cpp
@@ -1,6 +1,6 @@
 /**
  * @file resource.cpp
- * Names of kinds and roles; reading, checking and writing of specs.
+ * Names of kinds and roles; parsing, validation and serialization of specs.
  */
 #include "resources/resource_type.h"
 
@@ -21,7 +21,7 @@
 };
 constexpr std::array<std::string_view, 3> kRoleNames{ "prefill", "decode", "service" };
 
-/** Reads the fields of one spec from a JSON object and collects what is wrong with them. */
+/** Reads the fields of a spec from a JSON object and collects the errors. */
 class field_reader
 {
 public:
@@ -34,18 +34,18 @@
   template<typename T>
   void operator()(const char* aName, T& aField)
   {
-    mKnown.insert(aName);
+    mKnownFields.insert(aName);
     const auto found = mJson.find(aName);
     if (found != mJson.end()) {
       Read(aName, *found, aField);
     }
   }
 
-  /** Reports every key that no field has. */
+  /** Reports every key that isn't a field of the spec. */
   void ReportUnknown()
   {
     for (const auto& item : mJson.items()) {
-      if (!mKnown.contains(item.key())) {
+      if (!mKnownFields.contains(item.key())) {
         Report(item.key(), "unknown field");
       }
     }
@@ -106,12 +106,12 @@
     mFindings.push_back({ Join("spec.", aName), std::move(aMessage) });
   }
 
-  const nlohmann::json& mJson;  ///< The object.
-  finding_list& mFindings;      ///< Takes the faults.
-  std::set<std::string> mKnown; ///< Names of the fields seen.
+  const nlohmann::json& mJson;        ///< The object to read.
+  finding_list& mFindings;            ///< Receives the errors.
+  std::set<std::string> mKnownFields; ///< Names of the spec's fields.
 };
 
-/** Writes the fields of one spec into a JSON object. */
+/** Writes the fields of a spec into a JSON object. */
 class field_writer
 {
 public:
@@ -122,13 +122,13 @@
   }
   void operator()(const char* aName, const runner_role& aField) { mJson[aName] = RoleName(aField); }
 
-  nlohmann::json mJson = nlohmann::json::object(); ///< The object.
+  nlohmann::json mJson = nlohmann::json::object(); ///< The object written so far.
 };
 
 void
-Require(bool aHolds, const char* aField, const char* aMessage, finding_list& aFindings)
+Require(bool aIsValid, const char* aField, const char* aMessage, finding_list& aFindings)
 {
-  if (!aHolds) {
+  if (!aIsValid) {
     aFindings.push_back({ Join("spec.", aField), aMessage });
   }
 }
@@ -262,7 +262,7 @@
 SpecToJson(const resource_spec& aSpec)
 {
   field_writer writer;
-  std::visit([&writer](const auto& aOne) { VisitFields(aOne, writer); }, aSpec);
+  std::visit([&writer](const auto& aTyped) { VisitFields(aTyped, writer); }, aSpec);
   return writer.mJson;
 }
 
--- a/tests/support/session_script.cpp
+++ b/tests/support/session_script.cpp
@@ -1,6 +1,6 @@
 /**
  * @file session_script.cpp
- * Replays a session through the decision core.
+ * Replays a session through the placement core.
  */
 #include "tests/support/session_script.h"
 
@@ -19,16 +19,16 @@
 
 using json = nlohmann::json;
 
-/** A replay under way. */
+/** State of a replay. Runs a tick every 10 ms between the events. */
 class replay
 {
 public:
-  void TakeLine(const json& aLine)
+  void HandleLine(const json& aLine)
   {
     const instant now = std::chrono::milliseconds(aLine.value("at", std::int64_t{ 0 }));
-    while (mNext < now) {
-      Print(mCore.Tick(mNext), mNext);
-      mNext += std::chrono::milliseconds(10);
+    while (mNextTick < now) {
+      Print(mCore.Tick(mNextTick), mNextTick);
+      mNextTick += std::chrono::milliseconds(10);
     }
     if (aLine.contains("class_targets")) {
       ReadTargets(aLine["class_targets"]);
@@ -37,7 +37,7 @@
     }
   }
 
-  std::string mOut; ///< What the core answered.
+  std::string mOut; ///< Orders and decision records so far.
 
 private:
   void ReadTargets(const json& aTargets)
@@ -67,12 +67,12 @@
     const auto type = aLine.at("event").get<std::string>();
     if (type == "engine") {
       const bool prefill = aLine.at("role") == "prefill";
-      return engine_seen{ { Engine(aLine),
-                            aLine.at("engine").get<std::string>(),
-                            prefill ? runner_role::ePrefill : runner_role::eDecode,
-                            aLine.value("slots", 20U),
-                            aLine.value("rate", 8000.0),
-                            aLine.value("leaving", false) } };
+      return engine_updated{ { Engine(aLine),
+                               aLine.at("engine").get<std::string>(),
+                               prefill ? runner_role::ePrefill : runner_role::eDecode,
+                               aLine.value("slots", 20U),
+                               aLine.value("rate", 8000.0),
+                               aLine.value("leaving", false) } };
     }
     if (type == "arrived") {
       request_arrived arrived{ Attempt(aLine),
@@ -108,10 +108,10 @@
       return request_cancelled{ Attempt(aLine) };
     }
     if (type == "daemon_gone") {
-      return incarnation_gone{ { aLine.value("daemon", std::uint64_t{ 1 }) } };
+      return incarnation_ended{ { aLine.value("daemon", std::uint64_t{ 1 }) } };
     }
     if (type == "gone") {
-      return engine_gone{ Engine(aLine) };
+      return engine_removed{ Engine(aLine) };
     }
     throw std::runtime_error("unknown event " + type);
   }
@@ -127,10 +127,11 @@
     }
   }
 
-  placement_core<cost_chooser> mCore{ cell_settings{}, 7 }; ///< Decides.
-  std::map<std::string, priority_class_spec> mTargets;      ///< Classes of the script.
-  std::map<std::string, engine_id> mEngines;                ///< Ids by name, counted from 1.
-  instant mNext{ 0 };                                       ///< The next tick.
+  placement_core<cost_chooser> mCore{ cell_settings{}, 7 }; ///< The core under test.
+  std::map<std::string, priority_class_spec>
+    mTargets;                                ///< Targets of the script's priority classes, by name.
+  std::map<std::string, engine_id> mEngines; ///< Engine ids by name, assigned from 1.
+  instant mNextTick{ 0 };                    ///< Time of the next tick.
 };
 
 } // namespace
@@ -142,7 +143,7 @@
   std::istringstream lines(aScript);
   for (std::string line; std::getline(lines, line);) {
     if (!line.empty() && line.front() != '#') {
-      session.TakeLine(json::parse(line));
+      session.HandleLine(json::parse(line));
     }
   }
   return session.mOut;
