--- a/scripts/check_soak_mutants.sh
+++ b/scripts/check_soak_mutants.sh
@@ -50,7 +50,7 @@
 check_off 'planned work cuts nothing' src/forward/gateway.h 'if (mListener->Shared().mBusy == 0) {' 'if (true) {'
 check_off 'nothing is held for nobody' src/forward/upstream_send.h \
   'aExchange.OnGone([connection] { connection->Abort(); });' '' runner
-check_off 'crashes end' src/quarantine/crash_ledger.h 'kCrashesAllowed = 3;' 'kCrashesAllowed = 3000;' poison
+check_off 'crashes end' src/quarantine/crash_ledger.h 'kCrashesToQuarantine = 3;' 'kCrashesToQuarantine = 3000;' poison
 check_off 'callers beside a crash' src/quarantine/crash_ledger.cpp 'return EvidenceOf(aOther) > own;' 'return false;' poison
 check_off 'all is served again' src/links/config_follower.h \
   'if (mState.mRoutes && config.mVersion <=' 'if (mState.mRoutes && 0 <='
--- a/src/forward/crash_watch.h
+++ b/src/forward/crash_watch.h
@@ -24,11 +24,14 @@
   /** @return whether the request may be sent to no runner. */
   bool Quarantined()
   {
-    return !mState.mCrashes.Empty() && mState.mCrashes.StandingOf(Fingerprint(), mState.Now()) ==
-                                         request_standing::eQuarantined;
+    return !mState.mCrashes.Empty() &&
+           mState.mCrashes.StatusOf(Fingerprint(), mState.Now()) == quarantine_status::eQuarantined;
   }
   /** @return when its caller may come back. */
-  duration QuarantinedFor() { return mState.mCrashes.QuarantinedFor(Fingerprint(), mState.Now()); }
+  duration QuarantinedFor()
+  {
+    return mState.mCrashes.RemainingQuarantine(Fingerprint(), mState.Now());
+  }
   /** Notes that the connection to a runner broke on which an answer was awaited.
    * @param aProgressed the caller had something of this run's answer. */
   void NoteBroken(service_runner_id aRunner, bool aProgressed)
--- a/src/links/quarantine_link.cpp
+++ b/src/links/quarantine_link.cpp
@@ -57,13 +57,13 @@
 void
 quarantine_link::JudgeAndTell()
 {
-  const std::vector<quarantine_notice> changed = mState.mCrashes.Judge(mState.Now());
+  const std::vector<quarantine_notice> changed = mState.mCrashes.EvaluateDue(mState.Now());
   if (changed.empty()) {
     return;
   }
   quarantine_message told;
   for (const quarantine_notice& notice : changed) {
-    const bool quarantined = notice.mStanding == request_standing::eQuarantined;
+    const bool quarantined = notice.mStatus == quarantine_status::eQuarantined;
     if (told.mNotices.size() < kMostNotices) {
       told.mNotices.push_back(notice);
     }
@@ -74,7 +74,7 @@
     LogEvent(log_level::eWarning,
              "request_quarantined",
              { { "fingerprint", notice.mRequest.mValue },
-               { "crashes", mState.mCrashes.CrashesUnder(notice.mRequest) } });
+               { "crashes", mState.mCrashes.CountCrashes(notice.mRequest) } });
     if (mOnQuarantined) {
       mOnQuarantined(notice.mRequest);
     }
@@ -114,8 +114,8 @@
     if (const std::optional<endpoint> other = mLink.DrawOther()) {
       run_message message;
       quarantine_message& question = message.mQuarantine.emplace();
-      question.mAsksBeside = mState.mCrashes.Digest(mState.Now());
-      question.mAsksAlways = !mKnows;
+      question.mSenderDigest = mState.mCrashes.Digest(mState.Now());
+      question.mAlwaysAnswer = !mKnows;
       mLink.TellOne(std::move(message), *other);
     }
     const double spread = 0.5 + mState.Draw();
@@ -135,8 +135,8 @@
     mState.mCrashes.NoteServed(request);
   }
   for (const quarantine_notice& notice : aMessage.mNotices) {
-    const bool news = mState.mCrashes.Take(notice, now);
-    if (news && notice.mStanding == request_standing::eQuarantined) {
+    const bool news = mState.mCrashes.ApplyNotice(notice, now);
+    if (news && notice.mStatus == quarantine_status::eQuarantined) {
       mState.mMetrics.CountQuarantine("told");
       LogEvent(log_level::eInfo,
                "quarantine_told",
@@ -145,8 +145,8 @@
                  { "by", ToText(aFrom) } });
     }
   }
-  mKnows = mKnows || aMessage.mKnows;
-  if (aMessage.mAsksBeside) {
+  mKnows = mKnows || aMessage.mSynchronized;
+  if (aMessage.mSenderDigest) {
     Answer(aMessage, aFrom);
   }
 }
@@ -155,14 +155,14 @@
 quarantine_link::Answer(const quarantine_message& aMessage, const endpoint& aFrom)
 {
   const instant now = mState.Now();
-  const bool differs = *aMessage.mAsksBeside != mState.mCrashes.Digest(now);
-  if (!differs && !aMessage.mAsksAlways) {
+  const bool differs = *aMessage.mSenderDigest != mState.mCrashes.Digest(now);
+  if (!differs && !aMessage.mAlwaysAnswer) {
     return;
   }
   run_message message;
   quarantine_message& answer = message.mQuarantine.emplace();
-  answer.mNotices = mState.mCrashes.Quarantined(now, kMostNotices);
-  answer.mKnows = mKnows;
+  answer.mNotices = mState.mCrashes.NewestQuarantined(now, kMostNotices);
+  answer.mSynchronized = mKnows;
   mLink.TellOne(std::move(message), aFrom);
 }
 
--- a/src/links/quarantine_store.h
+++ b/src/links/quarantine_store.h
@@ -79,10 +79,10 @@
     std::size_t taken = 0;
     for (const quarantine_record& record : aRecords) {
       const std::uint64_t age = now > record.mSince ? now - record.mSince : 0;
-      quarantine_notice notice{ record.mRequest, request_standing::eQuarantined, duration{ 0 } };
+      quarantine_notice notice{ record.mRequest, quarantine_status::eQuarantined, duration{ 0 } };
       notice.mAge = std::chrono::milliseconds(age);
-      taken += mState.mCrashes.Take(notice, mState.Now()) ? 1 : 0;
-      if (notice.mAge >= kQuarantineTime) {
+      taken += mState.mCrashes.ApplyNotice(notice, mState.Now()) ? 1 : 0;
+      if (notice.mAge >= kQuarantineDuration) {
         mPassed.push_back(record.mRequest);
       }
     }
@@ -97,7 +97,7 @@
   {
     for (;;) {
       if (mUnwritten.empty()) {
-        co_await mWork.Wait(kQuarantineTime);
+        co_await mWork.Wait(kQuarantineDuration);
         continue;
       }
       const quarantine_record record = mUnwritten.front();
--- a/src/messages/run_message.cpp
+++ b/src/messages/run_message.cpp
@@ -175,24 +175,24 @@
   json notices = json::array();
   for (const quarantine_notice& notice : aMessage.mNotices) {
     notices.push_back(
-      { notice.mRequest.mValue, static_cast<int>(notice.mStanding), notice.mAge.count() });
+      { notice.mRequest.mValue, static_cast<int>(notice.mStatus), notice.mAge.count() });
   }
-  const json asks = aMessage.mAsksBeside ? json(*aMessage.mAsksBeside) : json();
+  const json asks = aMessage.mSenderDigest ? json(*aMessage.mSenderDigest) : json();
   return json::array({ std::move(crashes),
                        std::move(served),
                        std::move(notices),
                        asks,
-                       aMessage.mAsksAlways,
-                       aMessage.mKnows });
+                       aMessage.mAlwaysAnswer,
+                       aMessage.mSynchronized });
 }
 
 quarantine_notice
 NoticeFrom(const json& aItem)
 {
   const bool quarantined =
-    aItem.at(1).get<int>() == static_cast<int>(request_standing::eQuarantined);
+    aItem.at(1).get<int>() == static_cast<int>(quarantine_status::eQuarantined);
   return { { aItem.at(0).get<std::uint64_t>() },
-           quarantined ? request_standing::eQuarantined : request_standing::eSuspected,
+           quarantined ? quarantine_status::eQuarantined : quarantine_status::eSuspected,
            duration(std::max<std::int64_t>(0, aItem.at(2).get<std::int64_t>())) };
 }
 
@@ -212,10 +212,10 @@
     message.mNotices.push_back(NoticeFrom(notice));
   }
   if (!aItem.at(3).is_null()) {
-    message.mAsksBeside = aItem.at(3).get<std::uint64_t>();
+    message.mSenderDigest = aItem.at(3).get<std::uint64_t>();
   }
-  message.mAsksAlways = aItem.at(4).get<bool>();
-  message.mKnows = aItem.at(5).get<bool>();
+  message.mAlwaysAnswer = aItem.at(4).get<bool>();
+  message.mSynchronized = aItem.at(5).get<bool>();
   return message;
 }
 
--- a/src/quarantine/crash_ledger.cpp
+++ b/src/quarantine/crash_ledger.cpp
@@ -14,15 +14,16 @@
 void
 crash_ledger::NoteCrash(const crash_report& aReport, instant aNow)
 {
-  crashed_life& life = mLives.try_emplace(aReport.mRunner, crashed_life{ aNow, {} }).first->second;
-  auto& requests = life.mRequests;
+  crashed_runner& runner =
+    mCrashedRunners.try_emplace(aReport.mRunner, crashed_runner{ aNow, {} }).first->second;
+  auto& requests = runner.mRequests;
   if (std::find(requests.begin(), requests.end(), aReport.mRequest) != requests.end()) {
     return;
   }
   requests.push_back(aReport.mRequest);
-  mRequests[aReport.mRequest].mStrikes.push_back({ aReport.mRunner, aNow, aReport.mProgressed });
-  mToJudge[aNow + kReportsIn].push_back(aReport.mRequest);
-  MakeRoom();
+  mRequests[aReport.mRequest].mCrashes.push_back({ aReport.mRunner, aNow, aReport.mProgressed });
+  mDueEvaluations[aNow + kReportWindow].push_back(aReport.mRequest);
+  EvictOldest();
 }
 
 bool
@@ -32,41 +33,41 @@
 }
 
 bool
-crash_ledger::Take(const quarantine_notice& aNotice, instant aNow)
+crash_ledger::ApplyNotice(const quarantine_notice& aNotice, instant aNow)
 {
   const instant since = aNow - aNotice.mAge;
-  if (aNotice.mAge >= kQuarantineTime) {
+  if (aNotice.mAge >= kQuarantineDuration) {
     return false;
   }
-  request_row& row = mRequests[aNotice.mRequest];
+  tracked_request& row = mRequests[aNotice.mRequest];
   std::optional<instant>& known =
-    aNotice.mStanding == request_standing::eQuarantined ? row.mQuarantined : row.mSuspected;
-  const bool news = !known || since - *known > kOneFailure;
+    aNotice.mStatus == quarantine_status::eQuarantined ? row.mQuarantined : row.mSuspected;
+  const bool isNew = !known || since - *known > kCommonFailureWindow;
   known = known ? std::max(*known, since) : since;
-  MakeRoom();
-  return news;
+  EvictOldest();
+  return isNew;
 }
 
 std::vector<quarantine_notice>
-crash_ledger::Judge(instant aNow)
+crash_ledger::EvaluateDue(instant aNow)
 {
   std::vector<quarantine_notice> changed;
-  while (!mToJudge.empty() && mToJudge.begin()->first <= aNow) {
-    const std::vector<request_fingerprint> due = std::move(mToJudge.begin()->second);
-    mToJudge.erase(mToJudge.begin());
+  while (!mDueEvaluations.empty() && mDueEvaluations.begin()->first <= aNow) {
+    const std::vector<request_fingerprint> due = std::move(mDueEvaluations.begin()->second);
+    mDueEvaluations.erase(mDueEvaluations.begin());
     for (const request_fingerprint request : due) {
       const auto found = mRequests.find(request);
-      if (found == mRequests.end() || InQuarantine(found->second, aNow)) {
+      if (found == mRequests.end() || IsQuarantined(found->second, aNow)) {
         continue;
       }
-      request_row& row = found->second;
-      const std::uint32_t parole = row.mQuarantined ? kCrashesAllowed - 1 : 0;
-      if (parole + CountBlamed(request, aNow) >= kCrashesAllowed) {
+      tracked_request& row = found->second;
+      const std::uint32_t priorBlame = row.mQuarantined ? kCrashesToQuarantine - 1 : 0;
+      if (priorBlame + CountBlamedCrashes(request, aNow) >= kCrashesToQuarantine) {
         row.mQuarantined = aNow;
-        changed.push_back({ request, request_standing::eQuarantined, duration{ 0 } });
-      } else if (!row.mSuspected && row.mStrikes.size() + 1 >= kCrashesAllowed) {
+        changed.push_back({ request, quarantine_status::eQuarantined, duration{ 0 } });
+      } else if (!row.mSuspected && row.mCrashes.size() + 1 >= kCrashesToQuarantine) {
         row.mSuspected = aNow;
-        changed.push_back({ request, request_standing::eSuspected, duration{ 0 } });
+        changed.push_back({ request, quarantine_status::eSuspected, duration{ 0 } });
       }
     }
   }
@@ -79,103 +80,105 @@
   evidence found;
   const auto row = mRequests.find(aRequest);
   if (row != mRequests.end()) {
-    found.mCrashes = row->second.mStrikes.size();
-    found.mAtBegin = static_cast<std::size_t>(std::count_if(
-      row->second.mStrikes.begin(), row->second.mStrikes.end(), [](const strike& aStrike) {
-        return !aStrike.mProgressed;
+    found.mCrashes = row->second.mCrashes.size();
+    found.mBeforeProgress = static_cast<std::size_t>(std::count_if(
+      row->second.mCrashes.begin(), row->second.mCrashes.end(), [](const runner_crash& aCrash) {
+        return !aCrash.mProgressed;
       }));
   }
   return found;
 }
 
 bool
-crash_ledger::IsBlamed(request_fingerprint aRequest, const crashed_life& aLife) const
+crash_ledger::IsBlamed(request_fingerprint aRequest, const crashed_runner& aRunner) const
 {
   const evidence own = EvidenceOf(aRequest);
-  return std::none_of(aLife.mRequests.begin(),
-                      aLife.mRequests.end(),
+  return std::none_of(aRunner.mRequests.begin(),
+                      aRunner.mRequests.end(),
                       [&](request_fingerprint aOther) { return EvidenceOf(aOther) > own; });
 }
 
 std::uint32_t
-crash_ledger::CountBlamed(request_fingerprint aRequest, instant aNow) const
+crash_ledger::CountBlamedCrashes(request_fingerprint aRequest, instant aNow) const
 {
   std::uint32_t count = 0;
-  std::uint32_t together = 0; // Of one failure, which began at mFrom and goes on until mUntil.
-  instant from{ 0 };
-  instant until{ 0 };
-  const auto conclude = [&] {
-    const std::uint32_t others = together == 0 ? 0 : CountOthers(aRequest, from, until, aNow);
-    const bool explained = others >= kFailedTogether * together;
-    count += explained && together > 0 ? together - 1 : together;
-    together = 0;
+  std::uint32_t groupSize = 0; // Of one failure, which began at mFrom and goes on until mUntil.
+  instant groupBegin{ 0 };
+  instant groupEnd{ 0 };
+  const auto closeGroup = [&] {
+    const std::uint32_t others =
+      groupSize == 0 ? 0 : CountOtherCrashes(aRequest, groupBegin, groupEnd, aNow);
+    const bool commonCause = others >= kCommonFailureRatio * groupSize;
+    count += commonCause && groupSize > 0 ? groupSize - 1 : groupSize;
+    groupSize = 0;
   };
-  for (const strike& one : mRequests.at(aRequest).mStrikes) {
-    const auto life = mLives.find(one.mRunner);
-    if (life == mLives.end() || !IsBlamed(aRequest, life->second)) {
+  for (const runner_crash& crash : mRequests.at(aRequest).mCrashes) {
+    const auto runner = mCrashedRunners.find(crash.mRunner);
+    if (runner == mCrashedRunners.end() || !IsBlamed(aRequest, runner->second)) {
       continue;
     }
-    if (together > 0 && one.mAt - from > kOneFailure) {
-      conclude();
+    if (groupSize > 0 && crash.mAt - groupBegin > kCommonFailureWindow) {
+      closeGroup();
     }
-    from = together == 0 ? one.mAt : from;
-    until = one.mAt;
-    ++together;
+    groupBegin = groupSize == 0 ? crash.mAt : groupBegin;
+    groupEnd = crash.mAt;
+    ++groupSize;
   }
-  conclude();
+  closeGroup();
   return count;
 }
 
 std::uint32_t
-crash_ledger::CountOthers(request_fingerprint aRequest,
-                          instant aFrom,
-                          instant aUntil,
-                          instant aNow) const
+crash_ledger::CountOtherCrashes(request_fingerprint aRequest,
+                                instant aFrom,
+                                instant aUntil,
+                                instant aNow) const
 {
-  const auto isOther = [&](const auto& aRow) {
-    const crashed_life& life = aRow.second;
-    if (life.mAt < aFrom - kOneFailure || life.mAt > aUntil + kOneFailure) {
+  const auto isUnrelated = [&](const auto& aRow) {
+    const crashed_runner& runner = aRow.second;
+    if (runner.mAt < aFrom - kCommonFailureWindow || runner.mAt > aUntil + kCommonFailureWindow) {
       return false;
     }
     return std::none_of(
-      life.mRequests.begin(), life.mRequests.end(), [&](request_fingerprint aThere) {
-        return aThere == aRequest || StandingOf(aThere, aNow) == request_standing::eQuarantined;
+      runner.mRequests.begin(), runner.mRequests.end(), [&](request_fingerprint aRunning) {
+        return aRunning == aRequest || StatusOf(aRunning, aNow) == quarantine_status::eQuarantined;
       });
   };
-  return static_cast<std::uint32_t>(std::count_if(mLives.begin(), mLives.end(), isOther));
+  return static_cast<std::uint32_t>(
+    std::count_if(mCrashedRunners.begin(), mCrashedRunners.end(), isUnrelated));
 }
 
 bool
-crash_ledger::InQuarantine(const request_row& aRow, instant aNow) const
+crash_ledger::IsQuarantined(const tracked_request& aRow, instant aNow) const
 {
-  return aRow.mQuarantined && aNow - *aRow.mQuarantined < kQuarantineTime;
+  return aRow.mQuarantined && aNow - *aRow.mQuarantined < kQuarantineDuration;
 }
 
-request_standing
-crash_ledger::StandingOf(request_fingerprint aRequest, instant aNow) const
+quarantine_status
+crash_ledger::StatusOf(request_fingerprint aRequest, instant aNow) const
 {
   const auto found = mRequests.find(aRequest);
   if (found == mRequests.end()) {
-    return request_standing::eClear;
+    return quarantine_status::eClear;
   }
-  if (InQuarantine(found->second, aNow)) {
-    return request_standing::eQuarantined;
+  if (IsQuarantined(found->second, aNow)) {
+    return quarantine_status::eQuarantined;
   }
-  return found->second.mSuspected ? request_standing::eSuspected : request_standing::eClear;
+  return found->second.mSuspected ? quarantine_status::eSuspected : quarantine_status::eClear;
 }
 
 duration
-crash_ledger::QuarantinedFor(request_fingerprint aRequest, instant aNow) const
+crash_ledger::RemainingQuarantine(request_fingerprint aRequest, instant aNow) const
 {
   const auto found = mRequests.find(aRequest);
-  if (found == mRequests.end() || !InQuarantine(found->second, aNow)) {
+  if (found == mRequests.end() || !IsQuarantined(found->second, aNow)) {
     return duration{ 0 };
   }
-  return *found->second.mQuarantined + kQuarantineTime - aNow;
+  return *found->second.mQuarantined + kQuarantineDuration - aNow;
 }
 
 std::size_t
-crash_ledger::CrashesUnder(request_fingerprint aRequest) const
+crash_ledger::CountCrashes(request_fingerprint aRequest) const
 {
   return EvidenceOf(aRequest).mCrashes;
 }
@@ -185,23 +188,23 @@
 {
   return static_cast<std::size_t>(
     std::count_if(mRequests.begin(), mRequests.end(), [&](const auto& aRow) {
-      return InQuarantine(aRow.second, aNow);
+      return IsQuarantined(aRow.second, aNow);
     }));
 }
 
 std::vector<quarantine_notice>
-crash_ledger::Quarantined(instant aNow, std::size_t aMost) const
+crash_ledger::NewestQuarantined(instant aNow, std::size_t aMaxCount) const
 {
   std::vector<quarantine_notice> notices;
   for (const auto& [request, row] : mRequests) {
-    if (InQuarantine(row, aNow)) {
-      notices.push_back({ request, request_standing::eQuarantined, aNow - *row.mQuarantined });
+    if (IsQuarantined(row, aNow)) {
+      notices.push_back({ request, quarantine_status::eQuarantined, aNow - *row.mQuarantined });
     }
   }
   std::sort(notices.begin(), notices.end(), [](const auto& aOne, const auto& aTwo) {
     return std::tie(aOne.mAge, aOne.mRequest) < std::tie(aTwo.mAge, aTwo.mRequest);
   });
-  notices.resize(std::min(notices.size(), aMost));
+  notices.resize(std::min(notices.size(), aMaxCount));
   return notices;
 }
 
@@ -210,7 +213,7 @@
 {
   std::uint64_t digest = 0;
   for (const auto& [request, row] : mRequests) {
-    if (InQuarantine(row, aNow)) {
+    if (IsQuarantined(row, aNow)) {
       const std::uint64_t value = request.mValue;
       digest ^= HashBytes({ reinterpret_cast<const char*>(&value), sizeof value });
     }
@@ -221,41 +224,42 @@
 void
 crash_ledger::Prune(instant aNow)
 {
-  std::erase_if(mLives, [&](const auto& aRow) { return aNow - aRow.second.mAt >= kCrashKept; });
+  std::erase_if(mCrashedRunners,
+                [&](const auto& aRow) { return aNow - aRow.second.mAt >= kCrashRetention; });
   for (auto& [request, row] : mRequests) {
-    std::erase_if(row.mStrikes,
-                  [&](const strike& aStrike) { return aNow - aStrike.mAt >= kCrashKept; });
+    std::erase_if(row.mCrashes,
+                  [&](const runner_crash& aCrash) { return aNow - aCrash.mAt >= kCrashRetention; });
   }
   std::erase_if(mRequests, [&](const auto& aRow) {
-    const request_row& row = aRow.second;
-    const bool suspected = row.mSuspected && aNow - *row.mSuspected < kCrashKept;
+    const tracked_request& row = aRow.second;
+    const bool suspected = row.mSuspected && aNow - *row.mSuspected < kCrashRetention;
     const bool remembered =
-      row.mQuarantined && aNow - *row.mQuarantined < kQuarantineTime + kCrashKept;
-    return row.mStrikes.empty() && !suspected && !remembered;
+      row.mQuarantined && aNow - *row.mQuarantined < kQuarantineDuration + kCrashRetention;
+    return row.mCrashes.empty() && !suspected && !remembered;
   });
 }
 
 void
-crash_ledger::MakeRoom()
+crash_ledger::EvictOldest()
 {
-  const auto newest = [](const request_row& aRow) {
-    instant at = aRow.mStrikes.empty() ? instant{ 0 } : aRow.mStrikes.back().mAt;
+  const auto newest = [](const tracked_request& aRow) {
+    instant at = aRow.mCrashes.empty() ? instant{ 0 } : aRow.mCrashes.back().mAt;
     at = std::max(at, aRow.mSuspected.value_or(instant{ 0 }));
     return std::max(at, aRow.mQuarantined.value_or(instant{ 0 }));
   };
-  if (mRequests.size() > kMostRequests) {
+  if (mRequests.size() > kMaxTrackedRequests) {
     mRequests.erase(
       std::min_element(mRequests.begin(), mRequests.end(), [&](const auto& aOne, const auto& aTwo) {
-        const bool oneKept = aOne.second.mQuarantined.has_value();
-        const bool twoKept = aTwo.second.mQuarantined.has_value();
+        const bool oneQuarantined = aOne.second.mQuarantined.has_value();
+        const bool twoQuarantined = aTwo.second.mQuarantined.has_value();
         const instant oneAt = newest(aOne.second);
         const instant twoAt = newest(aTwo.second);
-        return std::tie(oneKept, oneAt) < std::tie(twoKept, twoAt);
+        return std::tie(oneQuarantined, oneAt) < std::tie(twoQuarantined, twoAt);
       }));
   }
-  if (mLives.size() > kMostLives) {
-    mLives.erase(
-      std::min_element(mLives.begin(), mLives.end(), [](const auto& aOne, const auto& aTwo) {
+  if (mCrashedRunners.size() > kMaxCrashedRunners) {
+    mCrashedRunners.erase(std::min_element(
+      mCrashedRunners.begin(), mCrashedRunners.end(), [](const auto& aOne, const auto& aTwo) {
         return aOne.second.mAt < aTwo.second.mAt;
       }));
   }
--- a/src/quarantine/quarantine_type.h
+++ b/src/quarantine/quarantine_type.h
@@ -24,7 +24,7 @@
 };
 
 /** How a request stands. */
-enum class request_standing
+enum class quarantine_status
 {
   eClear,       ///< Nothing is known against it.
   eSuspected,   ///< It was under way at two crashes; where it's served, that is told.
@@ -35,7 +35,7 @@
 struct quarantine_notice
 {
   request_fingerprint mRequest;                              ///< The request.
-  request_standing mStanding = request_standing::eSuspected; ///< Never eClear.
+  quarantine_status mStatus = quarantine_status::eSuspected; ///< Never eClear.
   duration mAge{ 0 };                                        ///< Time since it came to stand so.
 
   auto operator<=>(const quarantine_notice&) const = default;
@@ -48,10 +48,10 @@
   std::vector<request_fingerprint> mServed; ///< Served whole by the sender.
   std::vector<quarantine_notice> mNotices;  ///< Requests that aren't clear.
   std::optional<std::uint64_t>
-    mAsksBeside; ///< Asks for notices where the receiver's digest differs.
-  bool mAsksAlways =
-    false;             ///< mAsksBeside is to be answered in any case: the sender has just started.
-  bool mKnows = false; ///< The sender knows of all quarantines that the others knew of.
+    mSenderDigest; ///< Asks for notices where the receiver's digest differs.
+  bool mAlwaysAnswer =
+    false; ///< mSenderDigest is to be answered in any case: the sender has just started.
+  bool mSynchronized = false; ///< The sender knows of all quarantines that the others knew of.
 
   bool operator==(const quarantine_message&) const = default;
 };
--- a/tests/platform/crash_test.cpp
+++ b/tests/platform/crash_test.cpp
@@ -17,17 +17,17 @@
 namespace {
 
 /** Crashes that one request may cause before it's kept from runners. */
-constexpr std::size_t kAllowed = 3;
+constexpr std::size_t kCrashLimit = 3;
 /** Time in which all daemons must know of a third crash, in ms. */
-constexpr int kKnownWithinMs = 3000;
+constexpr int kPropagationMs = 3000;
 /** The latest that a final refusal may come, in ms: a quarter of the latency target of 0.3 s, and
  * the way of a busy machine. */
-constexpr std::int64_t kRefusalMs = 175;
+constexpr std::int64_t kMaxRefusalMs = 175;
 /** Time from a crash to the runner's next life, in ms. */
-constexpr int kDownMs = 400;
+constexpr int kRestartMs = 400;
 /** Time that a plain runner takes for an answer, in ms. */
-constexpr int kPlainMs = 100;
-constexpr int kPrompt = 2000;
+constexpr int kPlainAnswerMs = 100;
+constexpr int kPromptTokens = 2000;
 constexpr int kEvents = 10;
 const std::string kPoison = "poison";
 
@@ -41,9 +41,9 @@
   /** Starts six generating engines, three plain runners and some daemons. */
   void StartFleet(std::size_t aDaemons)
   {
-    const json faults{ { "crashes_on", kPoison }, { "down_ms", kDownMs } };
+    const json faults{ { "crashes_on", kPoison }, { "down_ms", kRestartMs } };
     json slow = faults;
-    slow["step_ms"] = kPlainMs; // The crash comes before the answer.
+    slow["step_ms"] = kPlainAnswerMs; // The crash comes before the answer.
     for (int i = 1; i <= 3; ++i) {
       mBed.AddRunner("desk-" + std::to_string(i), { "desk", "", "ready", slow });
     }
@@ -56,12 +56,12 @@
   }
 
   /** Starts callers that do something at the same time. @return their threads. */
-  static std::vector<std::thread> StartCallers(int aCount, const std::function<void(int)>& aWhat)
+  static std::vector<std::thread> StartCallers(int aCount, const std::function<void(int)>& aAction)
   {
     std::vector<std::thread> callers;
     callers.reserve(static_cast<std::size_t>(aCount));
     for (int i = 0; i < aCount; ++i) {
-      callers.emplace_back(aWhat, i);
+      callers.emplace_back(aAction, i);
     }
     return callers;
   }
@@ -82,18 +82,21 @@
     const std::string& aBody, std::size_t aDaemon, const std::string& aPath = "/turns/a")
   {
     mLastId = NextId();
-    return Call(
-      mBed.Callers(aDaemon), "POST", aPath, aBody, GenerationHeaders(mLastId, kPrompt, kEvents));
+    return Call(mBed.Callers(aDaemon),
+                "POST",
+                aPath,
+                aBody,
+                GenerationHeaders(mLastId, kPromptTokens, kEvents));
   }
 
-  answer Page(const std::string& aPath, std::size_t aDaemon)
+  answer GetPage(const std::string& aPath, std::size_t aDaemon)
   {
     mLastId = NextId();
     return Call(mBed.Callers(aDaemon), "GET", aPath, "", CallerHeaders(mLastId));
   }
 
   /** @return tries that reached any runner, of requests with a text in their path or body. */
-  std::size_t Reached(const std::string& aText) const
+  std::size_t CountReached(const std::string& aText) const
   {
     std::set<std::string> ids;
     for (const json& seen : mBed.Seen()) {
@@ -114,10 +117,10 @@
   /** Has a request crash as many runners as it's let, by trying it at all daemons in turn. */
   void CrashThree()
   {
-    for (int i = 0; i < 8 && CrashCount() < kAllowed; ++i) {
+    for (int i = 0; i < 8 && CrashCount() < kCrashLimit; ++i) {
       Generate(kPoison, static_cast<std::size_t>(i) % mBed.Daemons());
     }
-    LONGS_EQUAL(kAllowed, CrashCount());
+    LONGS_EQUAL(kCrashLimit, CrashCount());
   }
 
   /** Checks that a refusal came at once, and tells that the request didn't run and when to come
@@ -125,24 +128,24 @@
   void CheckRefusal(const answer& aAnswer, std::int64_t aSent)
   {
     LONGS_EQUAL(503, aAnswer.mStatus);
-    CHECK_TRUE(NowMs() - aSent <= kRefusalMs);
+    CHECK_TRUE(NowMs() - aSent <= kMaxRefusalMs);
     CHECK_TRUE(aAnswer.mHeaders.count("retry-after") == 1);
   }
 
   /** Checks that a daemon sends the request to no runner. */
-  void CheckKeptAt(std::size_t aDaemon, const std::string& aPath = "/turns/a")
+  void CheckQuarantinedAt(std::size_t aDaemon, const std::string& aPath = "/turns/a")
   {
-    const std::size_t reached = Reached(kPoison);
+    const std::size_t reached = CountReached(kPoison);
     const std::int64_t sent = NowMs();
     CheckRefusal(Generate(kPoison, aDaemon, aPath), sent);
-    LONGS_EQUAL(reached, Reached(kPoison));
+    LONGS_EQUAL(reached, CountReached(kPoison));
   }
 
   /** Checks the same for all daemons. */
-  void CheckKept(const std::string& aPath = "/turns/a")
+  void CheckQuarantinedEverywhere(const std::string& aPath = "/turns/a")
   {
     for (std::size_t daemon = 0; daemon < mBed.Daemons(); ++daemon) {
-      CheckKeptAt(daemon, aPath);
+      CheckQuarantinedAt(daemon, aPath);
     }
   }
 
@@ -169,17 +172,17 @@
   std::string mLastId; ///< Of the last request.
 };
 
-TEST(crashes, ARequestThatCrashedThreeEnginesReachesNoFurtherOneByAnyDaemon)
+TEST(crashes, NoDaemonSendsARequestThatCrashedThreeEnginesToAnother)
 {
   StartFleet(3);
   CrashThree();
-  Wait(kKnownWithinMs);
-  CheckKept();
-  CheckKept();
-  LONGS_EQUAL(kAllowed, CrashCount());
+  Wait(kPropagationMs);
+  CheckQuarantinedEverywhere();
+  CheckQuarantinedEverywhere();
+  LONGS_EQUAL(kCrashLimit, CrashCount());
 }
 
-TEST(crashes, ManyTriesAtOnceAtAllDaemonsReachNoEngineOnceThreeHaveCrashed)
+TEST(crashes, ConcurrentAttemptsAtAllDaemonsReachNoEngineOnceThreeHaveCrashed)
 {
   StartFleet(3);
   std::vector<std::thread> callers = StartCallers(9, [this](int aNumber) {
@@ -188,31 +191,31 @@
          "POST",
          "/turns/a",
          kPoison,
-         GenerationHeaders(id, kPrompt, kEvents));
+         GenerationHeaders(id, kPromptTokens, kEvents));
   });
   Join(std::move(callers));
   CHECK_TRUE(CrashCount() > 0);
   for (int i = 0; i < 3; ++i) {
     Generate(kPoison, static_cast<std::size_t>(i));
   }
-  Wait(kKnownWithinMs);
-  CheckKept();
+  Wait(kPropagationMs);
+  CheckQuarantinedEverywhere();
 }
 
 TEST(crashes, APlainRequestThatCrashedThreeRunnersReachesNoFurtherOne)
 {
   StartFleet(3);
-  for (int i = 0; i < 8 && CrashCount() < kAllowed; ++i) {
-    Page("/pages/" + kPoison, static_cast<std::size_t>(i) % 3);
+  for (int i = 0; i < 8 && CrashCount() < kCrashLimit; ++i) {
+    GetPage("/pages/" + kPoison, static_cast<std::size_t>(i) % 3);
   }
-  Wait(kKnownWithinMs);
-  const std::size_t reached = Reached(kPoison);
+  Wait(kPropagationMs);
+  const std::size_t reached = CountReached(kPoison);
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
     const std::int64_t sent = NowMs();
-    CheckRefusal(Page("/pages/" + kPoison, daemon), sent);
-    LONGS_EQUAL(200, Page("/pages/other", daemon).mStatus);
+    CheckRefusal(GetPage("/pages/" + kPoison, daemon), sent);
+    LONGS_EQUAL(200, GetPage("/pages/other", daemon).mStatus);
   }
-  LONGS_EQUAL(reached, Reached(kPoison));
+  LONGS_EQUAL(reached, CountReached(kPoison));
 }
 
 TEST(crashes, AStreamThatIsResumedCrashesNoFurtherEngineOnceThreeHaveCrashed)
@@ -221,13 +224,13 @@
   for (int i = 0; i < 4; ++i) {
     Generate(kPoison, static_cast<std::size_t>(i) % 3, "/resumed/a");
   }
-  Wait(kKnownWithinMs);
+  Wait(kPropagationMs);
   const std::size_t crashes = CrashCount();
-  CheckKept("/resumed/a");
+  CheckQuarantinedEverywhere("/resumed/a");
   LONGS_EQUAL(crashes, CrashCount());
 }
 
-TEST(crashes, CallersWhoseRunsBrokeBesideItAreServedAfterwards)
+TEST(crashes, CallersWhoseRunsBrokeInACrashAreServedAfterwards)
 {
   StartFleet(3);
   std::vector<std::thread> callers = StartCallers(12, [this](int aNumber) {
@@ -236,14 +239,14 @@
          "POST",
          "/resumed/a",
          "other " + std::to_string(aNumber),
-         GenerationHeaders(id, kPrompt, 100));
+         GenerationHeaders(id, kPromptTokens, 100));
   });
   Wait(200);
   CrashThree();
   Join(std::move(callers));
-  Wait(kDownMs * 2);
+  Wait(kRestartMs * 2);
   LONGS_EQUAL(12, CountServed(12));
-  CheckKept();
+  CheckQuarantinedEverywhere();
 }
 
 TEST(crashes, AllCallersAreServedAfterAllEnginesHaveFailedThreeTimes)
@@ -256,93 +259,93 @@
            "POST",
            "/turns/a",
            "other " + std::to_string(aNumber),
-           GenerationHeaders(id, kPrompt, 100));
+           GenerationHeaders(id, kPromptTokens, 100));
     });
     Wait(300);
     for (int i = 1; i <= 6; ++i) {
       mBed.CrashRunner("decode-" + std::to_string(i));
     }
     Join(std::move(callers));
-    Wait(kDownMs * 3);
+    Wait(kRestartMs * 3);
   }
   LONGS_EQUAL(18, CrashCount());
   LONGS_EQUAL(12, CountServed(12));
 }
 
-TEST(crashes, ADaemonThatStartsLaterKeepsTheRequestFromRunners)
+TEST(crashes, ADaemonThatStartsLaterLearnsOfTheQuarantine)
 {
   StartFleet(2);
   CrashThree();
   const std::size_t fresh = mBed.StartDaemon();
-  Wait(kKnownWithinMs);
-  CheckKeptAt(fresh);
+  Wait(kPropagationMs);
+  CheckQuarantinedAt(fresh);
 }
 
-TEST(crashes, DaemonsThatAreAllKilledKeepTheRequestFromRunnersAfterTheirStart)
+TEST(crashes, TheQuarantineSurvivesTheRestartOfAllDaemons)
 {
   StartFleet(3);
   CrashThree();
-  Wait(kKnownWithinMs);
+  Wait(kPropagationMs);
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
     mBed.Daemon(daemon).Signal(SIGKILL);
   }
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
     mBed.RestartDaemon(daemon);
   }
-  Wait(kKnownWithinMs);
-  CheckKept();
+  Wait(kPropagationMs);
+  CheckQuarantinedEverywhere();
 }
 
-TEST(crashes, ADaemonThatStoodStillMeanwhileKeepsTheRequestFromRunners)
+TEST(crashes, ADaemonThatWasSuspendedLearnsOfTheQuarantine)
 {
   StartFleet(3);
   mBed.Daemon(2).Signal(SIGSTOP);
-  for (int i = 0; i < 8 && CrashCount() < kAllowed; ++i) {
+  for (int i = 0; i < 8 && CrashCount() < kCrashLimit; ++i) {
     Generate(kPoison, static_cast<std::size_t>(i) % 2);
   }
-  Wait(kKnownWithinMs);
+  Wait(kPropagationMs);
   mBed.Daemon(2).Signal(SIGCONT);
-  Wait(kKnownWithinMs);
-  CheckKeptAt(2);
+  Wait(kPropagationMs);
+  CheckQuarantinedAt(2);
 }
 
-TEST(crashes, DaemonsTellEachOtherWhileTheStoreIsSilent)
+TEST(crashes, DaemonsShareQuarantinesWhileTheStoreIsSilent)
 {
   StartFleet(3);
   mBed.SetStore("silent");
   CrashThree();
-  Wait(kKnownWithinMs);
-  CheckKept();
+  Wait(kPropagationMs);
+  CheckQuarantinedEverywhere();
 }
 
-TEST(crashes, QuarantinesAreReadFromTheStoreOnceAndByNoDaemonThatOthersCanTell)
+TEST(crashes, OnlyADaemonThatNoOtherCanInformReadsQuarantinesFromTheStore)
 {
-  constexpr int kReadWithinMs = 2000;
+  constexpr int kMaxReadMs = 2000;
   StartFleet(1);
-  CHECK_TRUE(Eventually([&] { return mBed.QuarantineReads() == 1; }, kReadWithinMs));
+  CHECK_TRUE(Eventually([&] { return mBed.QuarantineReads() == 1; }, kMaxReadMs));
   mBed.StartDaemon();
-  Wait(kReadWithinMs);
+  Wait(kMaxReadMs);
   LONGS_EQUAL(1, mBed.QuarantineReads());
 }
 
-TEST(crashes, APromptThatCrashedThreeReadersReachesNoFurtherOne)
+TEST(crashes, APromptThatCrashedThreePrefillEnginesReachesNoOther)
 {
   const json faults{ { "crashes_on", kPoison },
                      { "crashes_reading", true },
-                     { "down_ms", kDownMs } };
+                     { "down_ms", kRestartMs } };
   for (int i = 1; i <= 4; ++i) {
     mBed.AddRunner("prefill-" + std::to_string(i), { "tutor", "prefill", "ready", faults });
   }
   mBed.AddRunner("decode-1", { "tutor", "decode", "ready", faults }); // It may read itself.
   mBed.PutConfig(1);
   mBed.StartDaemons(std::vector<platform_daemon_options>(3));
-  for (int i = 0; i < 20 && CrashCount() < kAllowed; ++i) {
+  for (int i = 0; i < 20 && CrashCount() < kCrashLimit; ++i) {
     Generate(kPoison, static_cast<std::size_t>(i) % 3);
-    Wait(kDownMs / 4); // A try that comes while the readers are down is refused.
+    Wait(kRestartMs / 4); // A try that comes while the readers are down is refused.
   }
-  CHECK_TRUE(CrashCount() >= kAllowed);
-  Wait(kKnownWithinMs);
+  CHECK_TRUE(CrashCount() >= kCrashLimit);
+  Wait(kPropagationMs);
   const std::size_t crashes = CrashCount();
-  CheckKept();
+  CheckQuarantinedEverywhere();
   LONGS_EQUAL(crashes, CrashCount());
 }
--- a/tests/unit/quarantine_link_test.cpp
+++ b/tests/unit/quarantine_link_test.cpp
@@ -62,7 +62,7 @@
   }
   bool Kept() const
   {
-    return mState.mCrashes.StandingOf(kPoison, mState.Now()) == request_standing::eQuarantined;
+    return mState.mCrashes.StatusOf(kPoison, mState.Now()) == quarantine_status::eQuarantined;
   }
 
   forward_state mState;         ///< Its tables.
@@ -87,7 +87,7 @@
   }
   static void CrashThree(node & aNode)
   {
-    for (std::uint64_t life = 1; life <= kCrashesAllowed; ++life) {
+    for (std::uint64_t life = 1; life <= kCrashesToQuarantine; ++life) {
       aNode.mQuarantines.NoteCrash({ kPoison, { life }, false });
     }
   }
@@ -132,8 +132,8 @@
   node two(mIo, 2);
   one.Meet(2);
   CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kContact));
-  const quarantine_notice untold{ kPoison, request_standing::eQuarantined, duration{ 0 } };
-  one.mState.mCrashes.Take(untold, one.mState.Now());
+  const quarantine_notice untold{ kPoison, quarantine_status::eQuarantined, duration{ 0 } };
+  one.mState.mCrashes.ApplyNotice(untold, one.mState.Now());
   CHECK_TRUE(RunUntil([&] { return two.Kept(); }, kContact));
 }
 
@@ -145,7 +145,7 @@
   CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kContact));
   one.mQuarantines.NoteCrash({ kPoison, { 1 }, false });
   one.mQuarantines.NoteCrash({ kPoison, { 2 }, false });
-  CHECK_TRUE(RunUntil([&] { return two.mState.mCrashes.CrashesUnder(kPoison) == 2; }, kContact));
+  CHECK_TRUE(RunUntil([&] { return two.mState.mCrashes.CountCrashes(kPoison) == 2; }, kContact));
   two.mQuarantines.NoteServed(kPoison);
   CHECK_TRUE(RunUntil([&] { return one.mState.mCrashes.Empty(); }, kContact));
 }
@@ -162,12 +162,12 @@
     std::vector<crash_ledger> daemons(kDaemons);
     std::vector<instant> compares;
     const instant began = seconds(100);
-    const quarantine_notice told{ kPoison, request_standing::eQuarantined, duration{ 0 } };
-    daemons[0].Take(told, began);
+    const quarantine_notice told{ kPoison, quarantine_status::eQuarantined, duration{ 0 } };
+    daemons[0].ApplyNotice(told, began);
     for (std::size_t i = 0; i < kDaemons; ++i) {
       const bool reached = i < kDaemons - kCutOff && draw() >= kLost;
       if (reached) {
-        daemons[i].Take(told, began);
+        daemons[i].ApplyNotice(told, began);
       }
       compares.push_back(began + FromSeconds(ToSeconds(kCompareEvery) * 1.5 * draw()));
     }
@@ -181,14 +181,15 @@
         const auto other = static_cast<std::size_t>(draw() * kDaemons);
         const bool arrives = draw() >= kLost && draw() >= kLost;
         if (arrives && daemons[i].Digest(now) != daemons[other].Digest(now)) {
-          for (const quarantine_notice& notice : daemons[other].Quarantined(now, kMostNotices)) {
-            daemons[i].Take(notice, now);
+          for (const quarantine_notice& notice :
+               daemons[other].NewestQuarantined(now, kMostNotices)) {
+            daemons[i].ApplyNotice(notice, now);
           }
         }
       }
     }
     for (const crash_ledger& daemon : daemons) {
-      CHECK_TRUE(daemon.StandingOf(kPoison, began + kContact) == request_standing::eQuarantined);
+      CHECK_TRUE(daemon.StatusOf(kPoison, began + kContact) == quarantine_status::eQuarantined);
     }
   }
 }
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -17,293 +17,297 @@
 using std::chrono::seconds;
 
 constexpr request_fingerprint kPoison{ 1001 };
-constexpr duration kApart = seconds(2);
+constexpr duration kCrashSpacing = seconds(2);
 
 } // namespace
 
 TEST_GROUP(quarantine)
 {
-  crash_ledger mLedger;         ///< Under test.
-  instant mNow{ seconds(100) }; ///< Of the ledger's clock.
-  std::uint64_t mLife = 1;      ///< Last life that crashed.
+  crash_ledger mLedger;           ///< Under test.
+  instant mNow{ seconds(100) };   ///< Of the ledger's clock.
+  std::uint64_t mIncarnation = 1; ///< Last life that crashed.
 
   /** Lets a runner crash under some requests. Those of @p aProgressed had got events of that run.
    */
-  void Crash(const std::vector<request_fingerprint>& aBegun,
-             const std::vector<request_fingerprint>& aProgressed = {})
+  void CrashRunner(const std::vector<request_fingerprint>& aNotProgressed,
+                   const std::vector<request_fingerprint>& aProgressed = {})
   {
-    ++mLife;
+    ++mIncarnation;
     for (const request_fingerprint request : aProgressed) {
-      mLedger.NoteCrash({ request, { mLife }, true }, mNow);
+      mLedger.NoteCrash({ request, { mIncarnation }, true }, mNow);
     }
-    for (const request_fingerprint request : aBegun) {
-      mLedger.NoteCrash({ request, { mLife }, false }, mNow);
+    for (const request_fingerprint request : aNotProgressed) {
+      mLedger.NoteCrash({ request, { mIncarnation }, false }, mNow);
     }
   }
-  void Pass(duration aSpan)
+  void AdvanceTime(duration aSpan)
   {
     mNow += aSpan;
-    mLedger.Judge(mNow);
+    mLedger.EvaluateDue(mNow);
     mLedger.Prune(mNow);
   }
-  bool Kept(request_fingerprint aRequest) const
+  bool IsQuarantined(request_fingerprint aRequest) const
   {
-    return mLedger.StandingOf(aRequest, mNow) == request_standing::eQuarantined;
+    return mLedger.StatusOf(aRequest, mNow) == quarantine_status::eQuarantined;
   }
-  static request_fingerprint Other(std::uint64_t aNumber)
+  static request_fingerprint OtherRequest(std::uint64_t aNumber)
   {
     return { 5000 + aNumber };
   }
 };
 
-TEST(quarantine, ARequestUnderWhichThreeRunnersCrashedIsKeptFromRunners)
+TEST(quarantine, ARequestThatCrashedThreeRunnersIsQuarantined)
 {
   for (int i = 0; i < 3; ++i) {
-    CHECK_FALSE(Kept(kPoison));
-    Crash({ kPoison });
-    Pass(kApart);
+    CHECK_FALSE(IsQuarantined(kPoison));
+    CrashRunner({ kPoison });
+    AdvanceTime(kCrashSpacing);
   }
-  CHECK_TRUE(Kept(kPoison));
-  CHECK_TRUE(mLedger.QuarantinedFor(kPoison, mNow) > kQuarantineTime - 2 * kApart);
+  CHECK_TRUE(IsQuarantined(kPoison));
+  CHECK_TRUE(mLedger.RemainingQuarantine(kPoison, mNow) > kQuarantineDuration - 2 * kCrashSpacing);
 }
 
-TEST(quarantine, ACrashThatSeveralTriesOrDaemonsReportCountsOnce)
+TEST(quarantine, RepeatedReportsOfOneCrashCountOnce)
 {
-  ++mLife;
+  ++mIncarnation;
   for (int i = 0; i < 9; ++i) {
-    mLedger.NoteCrash({ kPoison, { mLife }, false }, mNow);
+    mLedger.NoteCrash({ kPoison, { mIncarnation }, false }, mNow);
   }
-  Pass(kApart);
-  CHECK_FALSE(Kept(kPoison));
-  LONGS_EQUAL(1, mLedger.CrashesUnder(kPoison));
+  AdvanceTime(kCrashSpacing);
+  CHECK_FALSE(IsQuarantined(kPoison));
+  LONGS_EQUAL(1, mLedger.CountCrashes(kPoison));
 }
 
-TEST(quarantine, CrashesInQuickSuccessionUnderOneRequestAllCount)
+TEST(quarantine, CrashesOfOneRequestInQuickSuccessionAllCount)
 {
   for (int i = 0; i < 7; ++i) {
-    Crash({ kPoison });
+    CrashRunner({ kPoison });
     mNow += milliseconds(40);
   }
-  Pass(kReportsIn);
-  CHECK_TRUE(Kept(kPoison));
+  AdvanceTime(kReportWindow);
+  CHECK_TRUE(IsQuarantined(kPoison));
 }
 
-TEST(quarantine, ARequestThatMovedAlongWithTheOneThatCrashesStaysClear)
+TEST(quarantine, AStreamResumedBesideACrashingRequestIsNotQuarantined)
 {
   // Three engines end under one request; streams beside it go on at the next engine, and end there.
   for (int i = 0; i < 3; ++i) {
-    Crash({ kPoison }, { Other(1), Other(2) });
+    CrashRunner({ kPoison }, { OtherRequest(1), OtherRequest(2) });
     mNow += milliseconds(80);
   }
-  Pass(kReportsIn);
-  CHECK_TRUE(Kept(kPoison));
-  CHECK_FALSE(Kept(Other(1)));
-  CHECK_FALSE(Kept(Other(2)));
+  AdvanceTime(kReportWindow);
+  CHECK_TRUE(IsQuarantined(kPoison));
+  CHECK_FALSE(IsQuarantined(OtherRequest(1)));
+  CHECK_FALSE(IsQuarantined(OtherRequest(2)));
 }
 
-TEST(quarantine, ARequestBesideTwoThatCrashStaysClear)
+TEST(quarantine, ARequestBesideTwoCrashingRequestsIsNotQuarantined)
 {
   const request_fingerprint second{ 1003 };
   for (int i = 0; i < 4; ++i) {
-    if (!Kept(kPoison)) {
-      Crash({ kPoison }, { Other(1) });
-      Pass(kApart);
-      Crash({ kPoison });
-      Pass(kApart);
+    if (!IsQuarantined(kPoison)) {
+      CrashRunner({ kPoison }, { OtherRequest(1) });
+      AdvanceTime(kCrashSpacing);
+      CrashRunner({ kPoison });
+      AdvanceTime(kCrashSpacing);
     }
-    if (!Kept(second)) {
-      Crash({ second, Other(1) });
-      Pass(kApart);
-      Crash({ second });
-      Pass(kApart);
+    if (!IsQuarantined(second)) {
+      CrashRunner({ second, OtherRequest(1) });
+      AdvanceTime(kCrashSpacing);
+      CrashRunner({ second });
+      AdvanceTime(kCrashSpacing);
     }
   }
-  CHECK_TRUE(Kept(kPoison));
-  CHECK_TRUE(Kept(second));
-  CHECK_FALSE(Kept(Other(1)));
+  CHECK_TRUE(IsQuarantined(kPoison));
+  CHECK_TRUE(IsQuarantined(second));
+  CHECK_FALSE(IsQuarantined(OtherRequest(1)));
 }
 
-TEST(quarantine, ReportsThatComeInAnyOrderBlameTheSameRequest)
+TEST(quarantine, TheBlamedRequestDoesNotDependOnTheOrderOfReports)
 {
   for (int i = 0; i < 3; ++i) {
-    ++mLife;
-    mLedger.NoteCrash({ Other(1), { mLife }, false }, mNow);
-    Pass(kReportsIn / 2);
-    mLedger.NoteCrash({ kPoison, { mLife }, false }, mNow);
-    Pass(kApart);
-    Crash({ kPoison });
-    Pass(kApart);
+    ++mIncarnation;
+    mLedger.NoteCrash({ OtherRequest(1), { mIncarnation }, false }, mNow);
+    AdvanceTime(kReportWindow / 2);
+    mLedger.NoteCrash({ kPoison, { mIncarnation }, false }, mNow);
+    AdvanceTime(kCrashSpacing);
+    CrashRunner({ kPoison });
+    AdvanceTime(kCrashSpacing);
   }
-  CHECK_TRUE(Kept(kPoison));
-  CHECK_FALSE(Kept(Other(1)));
+  CHECK_TRUE(IsQuarantined(kPoison));
+  CHECK_FALSE(IsQuarantined(OtherRequest(1)));
 }
 
-TEST(quarantine, NobodyIsKeptAfterAllRunnersHaveFailedTogetherSeveralTimes)
+TEST(quarantine, NoRequestIsQuarantinedWhenAllRunnersFailTogetherRepeatedly)
 {
   constexpr std::uint64_t kRunners = 9;
   for (int failure = 0; failure < 5; ++failure) {
     for (std::uint64_t runner = 0; runner < kRunners; ++runner) {
-      Crash({ Other(2 * runner), Other(2 * runner + 1) });
+      CrashRunner({ OtherRequest(2 * runner), OtherRequest(2 * runner + 1) });
     }
-    Pass(kApart);
+    AdvanceTime(kCrashSpacing);
   }
   for (std::uint64_t request = 0; request < 2 * kRunners; ++request) {
-    CHECK_FALSE(Kept(Other(request)));
+    CHECK_FALSE(IsQuarantined(OtherRequest(request)));
   }
 }
 
-TEST(quarantine, NobodyIsKeptAfterAFailureThatFollowedResumedStreamsFromRunnerToRunner)
+TEST(quarantine, NoRequestIsQuarantinedWhenAFailureFollowsResumedStreams)
 {
   constexpr std::uint64_t kRunners = 9;
   for (std::uint64_t runner = 0; runner < kRunners; ++runner) {
     // A stream may go on at two further runners.
-    Crash({}, { Other(runner), Other(runner + 1), Other(runner + 2) });
+    CrashRunner({}, { OtherRequest(runner), OtherRequest(runner + 1), OtherRequest(runner + 2) });
     mNow += milliseconds(60);
   }
-  Pass(kApart);
+  AdvanceTime(kCrashSpacing);
   for (std::uint64_t request = 0; request < kRunners + 2; ++request) {
-    CHECK_FALSE(Kept(Other(request)));
+    CHECK_FALSE(IsQuarantined(OtherRequest(request)));
   }
 }
 
 TEST(quarantine, ARequestBesideOneThatCrashesAndThenBesideAnotherStaysClear)
 {
   const request_fingerprint second{ 1003 };
-  for (const request_fingerprint guilty : { kPoison, second }) {
-    for (int i = 0; i < 4 && !Kept(guilty); ++i) {
+  for (const request_fingerprint crashing : { kPoison, second }) {
+    for (int i = 0; i < 4 && !IsQuarantined(crashing); ++i) {
       if (i < 2) {
-        Crash({ guilty, Other(1) });
+        CrashRunner({ crashing, OtherRequest(1) });
       } else {
-        Crash({ guilty });
+        CrashRunner({ crashing });
       }
-      Pass(kApart);
+      AdvanceTime(kCrashSpacing);
     }
-    CHECK_TRUE(Kept(guilty));
+    CHECK_TRUE(IsQuarantined(crashing));
   }
-  CHECK_FALSE(Kept(Other(1)));
+  CHECK_FALSE(IsQuarantined(OtherRequest(1)));
 }
 
 TEST(quarantine, ARequestThatWasAtTheSameThreeCrashesStaysClear)
 {
   for (int i = 0; i < 3; ++i) {
-    Crash({ kPoison, Other(1) });
-    Pass(kApart);
+    CrashRunner({ kPoison, OtherRequest(1) });
+    AdvanceTime(kCrashSpacing);
   }
-  CHECK_FALSE(Kept(Other(1)));
-  Crash({ kPoison });
-  Pass(kApart);
-  CHECK_TRUE(Kept(kPoison));
-  CHECK_FALSE(Kept(Other(1)));
+  CHECK_FALSE(IsQuarantined(OtherRequest(1)));
+  CrashRunner({ kPoison });
+  AdvanceTime(kCrashSpacing);
+  CHECK_TRUE(IsQuarantined(kPoison));
+  CHECK_FALSE(IsQuarantined(OtherRequest(1)));
 }
 
-TEST(quarantine, ThreeRequestsThatCrashRunnersAtTheSameTimeAreAllKept)
+TEST(quarantine, ThreeRequestsThatCrashRunnersAtTheSameTimeAreAllQuarantined)
 {
   std::mt19937 random(7);
   int crashes = 0;
-  const std::vector<request_fingerprint> guilty{ { 1 }, { 3 }, { 5 } };
-  const auto all = [&] { return Kept(guilty[0]) && Kept(guilty[1]) && Kept(guilty[2]); };
+  const std::vector<request_fingerprint> crashing{ { 1 }, { 3 }, { 5 } };
+  const auto all = [&] {
+    return IsQuarantined(crashing[0]) && IsQuarantined(crashing[1]) && IsQuarantined(crashing[2]);
+  };
   while (!all() && crashes < 100) {
-    std::vector<request_fingerprint> free;
-    for (const request_fingerprint one : guilty) {
-      if (!Kept(one)) {
-        free.push_back(one);
+    std::vector<request_fingerprint> notQuarantined;
+    for (const request_fingerprint one : crashing) {
+      if (!IsQuarantined(one)) {
+        notQuarantined.push_back(one);
       }
     }
-    Crash({ free[random() % free.size()] }, { Other(static_cast<std::uint64_t>(crashes)) });
+    CrashRunner({ notQuarantined[random() % notQuarantined.size()] },
+                { OtherRequest(static_cast<std::uint64_t>(crashes)) });
     ++crashes;
-    Pass(milliseconds(130));
+    AdvanceTime(milliseconds(130));
   }
   CHECK_TRUE(all());
   CHECK_TRUE(crashes <= 21);
 }
 
-TEST(quarantine, ARequestThatWasServedWholeIsClear)
+TEST(quarantine, ARequestThatWasServedWholeIsClearedOfItsCrashes)
 {
-  Crash({ kPoison });
-  Pass(kApart);
-  Crash({ kPoison });
-  Pass(kApart);
-  CHECK_TRUE(mLedger.StandingOf(kPoison, mNow) == request_standing::eSuspected);
+  CrashRunner({ kPoison });
+  AdvanceTime(kCrashSpacing);
+  CrashRunner({ kPoison });
+  AdvanceTime(kCrashSpacing);
+  CHECK_TRUE(mLedger.StatusOf(kPoison, mNow) == quarantine_status::eSuspected);
   CHECK_TRUE(mLedger.NoteServed(kPoison));
-  Crash({ kPoison });
-  Pass(kApart);
-  CHECK_FALSE(Kept(kPoison));
+  CrashRunner({ kPoison });
+  AdvanceTime(kCrashSpacing);
+  CHECK_FALSE(IsQuarantined(kPoison));
 }
 
-TEST(quarantine, ARequestThatComesBackFromItIsKeptAgainAtItsNextCrash)
+TEST(quarantine, ARequestWhoseQuarantineEndedIsQuarantinedAtItsNextCrash)
 {
   for (int i = 0; i < 3; ++i) {
-    Crash({ kPoison });
-    Pass(kApart);
+    CrashRunner({ kPoison });
+    AdvanceTime(kCrashSpacing);
   }
-  Pass(kQuarantineTime);
-  CHECK_FALSE(Kept(kPoison));
-  Crash({ kPoison });
-  Pass(kApart);
-  CHECK_TRUE(Kept(kPoison));
+  AdvanceTime(kQuarantineDuration);
+  CHECK_FALSE(IsQuarantined(kPoison));
+  CrashRunner({ kPoison });
+  AdvanceTime(kCrashSpacing);
+  CHECK_TRUE(IsQuarantined(kPoison));
 }
 
-TEST(quarantine, WhatAnotherDaemonTellsHoldsForTheRestOfItsTime)
+TEST(quarantine, AQuarantineFromAnotherDaemonLastsForItsRemainingTime)
 {
-  const quarantine_notice told{ kPoison, request_standing::eQuarantined, seconds(500) };
-  CHECK_TRUE(mLedger.Take(told, mNow));
-  CHECK_FALSE(mLedger.Take(told, mNow));
-  CHECK_TRUE(Kept(kPoison));
-  Pass(kQuarantineTime - seconds(500));
-  CHECK_FALSE(Kept(kPoison));
-  CHECK_FALSE(mLedger.Take({ { 7 }, request_standing::eQuarantined, kQuarantineTime }, mNow));
+  const quarantine_notice told{ kPoison, quarantine_status::eQuarantined, seconds(500) };
+  CHECK_TRUE(mLedger.ApplyNotice(told, mNow));
+  CHECK_FALSE(mLedger.ApplyNotice(told, mNow));
+  CHECK_TRUE(IsQuarantined(kPoison));
+  AdvanceTime(kQuarantineDuration - seconds(500));
+  CHECK_FALSE(IsQuarantined(kPoison));
+  CHECK_FALSE(
+    mLedger.ApplyNotice({ { 7 }, quarantine_status::eQuarantined, kQuarantineDuration }, mNow));
 }
 
-TEST(quarantine, DigestsAgreeWhateverTheOrder)
+TEST(quarantine, DigestsDoNotDependOnTheOrderOfNotices)
 {
   crash_ledger other;
   for (std::uint64_t i = 1; i <= 20; ++i) {
-    mLedger.Take({ { i }, request_standing::eQuarantined, seconds(1) }, mNow);
+    mLedger.ApplyNotice({ { i }, quarantine_status::eQuarantined, seconds(1) }, mNow);
     CHECK_TRUE(mLedger.Digest(mNow) != other.Digest(mNow));
   }
   for (std::uint64_t i = 20; i >= 1; --i) {
-    other.Take({ { i }, request_standing::eQuarantined, seconds(2) }, mNow);
+    other.ApplyNotice({ { i }, quarantine_status::eQuarantined, seconds(2) }, mNow);
   }
   CHECK_TRUE(mLedger.Digest(mNow) == other.Digest(mNow));
 }
 
-TEST(quarantine, WhatIsRememberedIsBoundedAndQuarantinesGoLast)
+TEST(quarantine, TrackedRequestsAreBoundedAndQuarantinesAreEvictedLast)
 {
-  mLedger.Take({ kPoison, request_standing::eQuarantined, duration{ 0 } }, mNow);
-  for (std::uint64_t i = 0; i < 3 * kMostRequests; ++i) {
-    Crash({ Other(i) });
+  mLedger.ApplyNotice({ kPoison, quarantine_status::eQuarantined, duration{ 0 } }, mNow);
+  for (std::uint64_t i = 0; i < 3 * kMaxTrackedRequests; ++i) {
+    CrashRunner({ OtherRequest(i) });
     mNow += milliseconds(1);
   }
-  CHECK_TRUE(mLedger.Size() <= kMostRequests);
-  CHECK_TRUE(Kept(kPoison));
-  Pass(kCrashKept + kQuarantineTime);
+  CHECK_TRUE(mLedger.Size() <= kMaxTrackedRequests);
+  CHECK_TRUE(IsQuarantined(kPoison));
+  AdvanceTime(kCrashRetention + kQuarantineDuration);
   CHECK_TRUE(mLedger.Empty());
 }
 
-TEST(quarantine, AMessageComesThroughAsItWas)
+TEST(quarantine, AMessageIsDecodedAsItWasEncoded)
 {
   run_message message;
   message.mDaemon = 5;
   quarantine_message& told = message.mQuarantine.emplace();
   told.mCrashes.push_back({ kPoison, { 77 }, true });
   told.mServed.push_back({ 9 });
-  told.mNotices.push_back({ kPoison, request_standing::eQuarantined, seconds(3) });
-  told.mNotices.push_back({ { 11 }, request_standing::eSuspected, seconds(1) });
-  told.mAsksBeside = 12345;
-  told.mAsksAlways = true;
-  told.mKnows = true;
+  told.mNotices.push_back({ kPoison, quarantine_status::eQuarantined, seconds(3) });
+  told.mNotices.push_back({ { 11 }, quarantine_status::eSuspected, seconds(1) });
+  told.mSenderDigest = 12345;
+  told.mAlwaysAnswer = true;
+  told.mSynchronized = true;
   const std::optional<run_message> read = DecodeRunMessage(Encode(message, mNow), mNow);
   CHECK_TRUE(read.has_value());
   CHECK_TRUE(*read == message);
 }
 
-TEST(quarantine, ChangedMessagesAreReadOrDropped)
+TEST(quarantine, CorruptedMessagesAreDecodedOrDropped)
 {
   run_message message;
   message.mDaemon = 5;
   quarantine_message& told = message.mQuarantine.emplace();
   told.mCrashes.push_back({ kPoison, { 77 }, true });
-  told.mNotices.push_back({ kPoison, request_standing::eQuarantined, seconds(3) });
+  told.mNotices.push_back({ kPoison, quarantine_status::eQuarantined, seconds(3) });
   const std::string whole = Encode(message, mNow);
   std::mt19937 random(3);
   for (int i = 0; i < 4000; ++i) {
@@ -313,7 +317,7 @@
     if (read && read->mQuarantine) {
       for (const quarantine_notice& notice : read->mQuarantine->mNotices) {
         CHECK_TRUE(notice.mAge >= duration{ 0 });
-        mLedger.Take(notice, mNow);
+        mLedger.ApplyNotice(notice, mNow);
       }
     }
   }
--- a/tests/unit/suspension_test.cpp
+++ b/tests/unit/suspension_test.cpp
@@ -213,9 +213,9 @@
 {
   crash_ledger ledger;
   const boot_clock_source clock;
-  ledger.Take({ { 1 }, request_standing::eQuarantined, duration{ 0 } }, clock.Now());
-  SuspendFor(kQuarantineTime);
-  CHECK_TRUE(ledger.StandingOf({ 1 }, clock.Now()) == request_standing::eClear);
+  ledger.ApplyNotice({ { 1 }, quarantine_status::eQuarantined, duration{ 0 } }, clock.Now());
+  SuspendFor(kQuarantineDuration);
+  CHECK_TRUE(ledger.StatusOf({ 1 }, clock.Now()) == quarantine_status::eClear);
 }
 
 TEST(suspension, TheTimeLeftOfARequestIsLessByIt)
