--- a/src/quarantine/crash_ledger.cpp
+++ b/src/quarantine/crash_ledger.cpp
@@ -1,6 +1,6 @@
 /**
  * @file crash_ledger.cpp
- * Blame for crashes.
+ * Evaluation of crashes: which request each is blamed on.
  */
 #include "quarantine/crash_ledger.h"
 
@@ -102,7 +102,7 @@
 crash_ledger::CountBlamedCrashes(request_fingerprint aRequest, instant aNow) const
 {
   std::uint32_t count = 0;
-  std::uint32_t groupSize = 0; // Of one failure, which began at mFrom and goes on until mUntil.
+  std::uint32_t groupSize = 0; // Crashes close enough to have one cause.
   instant groupBegin{ 0 };
   instant groupEnd{ 0 };
   const auto closeGroup = [&] {
--- a/src/quarantine/crash_ledger.h
+++ b/src/quarantine/crash_ledger.h
@@ -1,12 +1,13 @@
 /**
  * @file crash_ledger.h
- * Which requests were under way at runners that crashed, and which of them are kept from runners.
- * Pure: it's told of crashes, answers and the passing of time.
+ * Tracks which requests were running on runners that crashed, and decides which requests are
+ * quarantined. It does no I/O: the caller passes in crash reports, completed requests and the time.
  *
- * A crash breaks all runs at its runner, of which one at most is to blame. It's blamed on the
- * request that was under way at the most crashes; where several are even, on those that had not
- * progressed. A request on which enough crashes are blamed is quarantined. Crashes of many runners
- * at once of which a request was at few are no evidence against it: the runners failed together.
+ * A crash breaks all runs on its runner, of which at most one caused it. It's blamed on the request
+ * that was running at the most crashes; among equals, on those that had made no progress. A request
+ * on which enough crashes are blamed is quarantined. If many runners crash at once and a request
+ * was running on only a few of them, those crashes are no evidence against it: the runners had a
+ * common cause of failure.
  */
 #pragma once
 
@@ -19,107 +20,109 @@
 
 namespace dunehook {
 
-/** Crashes that are blamed on a request before it's quarantined. */
+/** A request is quarantined once this many crashes are blamed on it. */
 inline constexpr std::uint32_t kCrashesToQuarantine = 3;
-/** Time that a quarantine lasts. A request that comes back from it has one crash left. */
+/** Length of a quarantine. After it, a single further crash quarantines the request again. */
 inline constexpr duration kQuarantineDuration = std::chrono::minutes(10);
-/** Crashes are remembered for this long. */
+/** Crashes are kept for this long. */
 inline constexpr duration kCrashRetention = std::chrono::minutes(10);
-/** Time after a crash in which the other daemons' reports on it come in; it's judged then. */
+/** Time after a crash for other daemons' reports of it to arrive; it's evaluated after that. */
 inline constexpr duration kReportWindow = std::chrono::milliseconds(250);
-/** Crashes so close together may have one cause. */
+/** Crashes within this time of each other may have a common cause. */
 inline constexpr duration kCommonFailureWindow = std::chrono::milliseconds(1000);
-/** Crashes are put down to a common failure where, for each runner that the request was at, at
- * least so many others crashed at the same time. */
+/** Crashes count as a common failure if, for each crashed runner that ran the request, at least
+ * this many other runners crashed at the same time. */
 inline constexpr std::uint32_t kCommonFailureRatio = 2;
 
-/** Most requests and lives remembered. */
+/** Limits on the requests and the crashed runners that are tracked. */
 inline constexpr std::size_t kMaxTrackedRequests = 4096;
 inline constexpr std::size_t kMaxCrashedRunners = 2048;
 
-/** The ledger. */
+/** Tracks crashes by request and by runner, and derives quarantines from them. */
 class crash_ledger
 {
 public:
-  /** Notes a crash under a request. The same report twice counts once. */
+  /** Records that a runner crashed while it ran a request. Repeated reports count once. */
   void NoteCrash(const crash_report& aReport, instant aNow);
-  /** Notes that a request was served whole: it crashes nobody. @return whether anything was known
-   * against it. */
+  /** Records that a request was completed, so it doesn't crash runners, and drops its crashes.
+   * @return whether anything was recorded against it. */
   bool NoteServed(request_fingerprint aRequest);
-  /** Takes in what another daemon tells. @return whether that's news. */
+  /** Applies the status that another daemon sent. @return whether it was new here. */
   bool ApplyNotice(const quarantine_notice& aNotice, instant aNow);
-  /** Judges the requests with crashes whose reports have come in since the last call.
-   * @return those whose standing has changed by it. */
+  /** Evaluates the requests whose crashes are at least kReportWindow old and not evaluated yet.
+   * @return those whose status has changed by it. */
   std::vector<quarantine_notice> EvaluateDue(instant aNow);
-  /** Forgets what is older than it's kept; call it now and then. */
+  /** Removes expired crashes and quarantines; to be called periodically. */
   void Prune(instant aNow);
 
-  /** @return requests that anything is known against. */
+  /** @return how many requests are tracked. */
   std::size_t Size() const { return mRequests.size(); }
-  /** @return whether nothing is known against any request. */
+  /** @return whether no request is tracked. */
   bool Empty() const { return mRequests.empty(); }
   quarantine_status StatusOf(request_fingerprint aRequest, instant aNow) const;
-  /** @return time until the end of a request's quarantine; zero if there's none. */
+  /** @return time until a request's quarantine ends; zero if it isn't quarantined. */
   duration RemainingQuarantine(request_fingerprint aRequest, instant aNow) const;
-  /** @return how many crashes a request was under way at, blamed on it or not. */
+  /** @return at how many crashes a request was running, whether they are blamed on it or not. */
   std::size_t CountCrashes(request_fingerprint aRequest) const;
-  /** @return how many requests are in quarantine. */
+  /** @return how many requests are quarantined. */
   std::size_t CountQuarantined(instant aNow) const;
-  /** @return requests in quarantine, at most @p aMaxCount, those that came last first. */
+  /** @return at most @p aMaxCount quarantined requests, the newest quarantine first. */
   std::vector<quarantine_notice> NewestQuarantined(instant aNow, std::size_t aMaxCount) const;
-  /** @return a digest of the requests in quarantine; 0 if there's none. */
+  /** @return an order-independent hash of the quarantined requests; 0 if there are none. */
   std::uint64_t Digest(instant aNow) const;
 
 private:
-  /** A crash that a request was under way at. */
+  /** A crash of a runner while it ran a request. */
   struct runner_crash
   {
     service_runner_id mRunner; ///< The runner's incarnation.
     instant mAt{ 0 };          ///< When it was first reported.
     bool mProgressed = false;  ///< See crash_report.
   };
-  /** What is known of a request. */
+  /** Crashes and status of a request. */
   struct tracked_request
   {
-    std::vector<runner_crash> mCrashes;  ///< In order of their reports; one for each incarnation.
-    std::optional<instant> mSuspected;   ///< Since when it's suspected.
-    std::optional<instant> mQuarantined; ///< Since when it's in quarantine, or was.
+    std::vector<runner_crash> mCrashes;  ///< In order of first report; one per incarnation.
+    std::optional<instant> mSuspected;   ///< When it became suspected.
+    std::optional<instant> mQuarantined; ///< When its last quarantine began.
   };
-  /** An incarnation that crashed. */
+  /** An incarnation of a runner that crashed. */
   struct crashed_runner
   {
     instant mAt{ 0 };                           ///< When it was first reported.
-    std::vector<request_fingerprint> mRequests; ///< Those under way there.
+    std::vector<request_fingerprint> mRequests; ///< Those that were running there.
   };
-  /** Evidence against a request; the larger goes before. */
+  /** Evidence against a request. The request with the largest value is blamed. */
   struct evidence
   {
-    std::size_t mCrashes = 0;        ///< Crashes that it was under way at.
-    std::size_t mBeforeProgress = 0; ///< Those of them at which it had not progressed.
+    std::size_t mCrashes = 0;        ///< Crashes at which it was running.
+    std::size_t mBeforeProgress = 0; ///< Those of them at which it had made no progress.
 
     auto operator<=>(const evidence&) const = default;
   };
 
   evidence EvidenceOf(request_fingerprint aRequest) const;
-  /** @return whether no other request there has more evidence against it. */
+  /** @return whether no other request on that runner has more evidence against it. */
   bool IsBlamed(request_fingerprint aRequest, const crashed_runner& aRunner) const;
-  /** @return how many crashes are blamed on a request. */
+  /** @return how many crashes are blamed on a request. Of crashes that a common failure explains,
+   * one isn't counted. */
   std::uint32_t CountBlamedCrashes(request_fingerprint aRequest, instant aNow) const;
-  /** @return crashes within kCommonFailureWindow of a span at which the request was not under way,
-   * but for those of requests in quarantine. */
+  /** @return how many runners crashed between @p aFrom and @p aUntil, give or take
+   * kCommonFailureWindow, that ran neither the request nor a quarantined one. */
   std::uint32_t CountOtherCrashes(request_fingerprint aRequest,
                                   instant aFrom,
                                   instant aUntil,
                                   instant aNow) const;
   bool IsQuarantined(const tracked_request& aRow, instant aNow) const;
-  /** Takes out the request with the oldest news if there are too many. */
+  /** Over a limit, evicts the request updated longest ago, or the oldest crashed runner. Requests
+   * that were ever quarantined are evicted last. */
   void EvictOldest();
 
   std::unordered_map<request_fingerprint, tracked_request>
-    mRequests; ///< Never more than kMaxTrackedRequests.
+    mRequests; ///< At most kMaxTrackedRequests.
   std::map<service_runner_id, crashed_runner>
-    mCrashedRunners; ///< Never more than kMaxCrashedRunners.
-  std::map<instant, std::vector<request_fingerprint>> mDueEvaluations; ///< By when it's due.
+    mCrashedRunners; ///< At most kMaxCrashedRunners; by incarnation.
+  std::map<instant, std::vector<request_fingerprint>> mDueEvaluations; ///< By due time.
 };
 
 } // namespace dunehook
--- a/src/quarantine/quarantine_type.h
+++ b/src/quarantine/quarantine_type.h
@@ -1,6 +1,7 @@
 /**
  * @file quarantine_type.h
- * Values of the quarantine: reports of crashes, and what follows from them for a request.
+ * Value types of the quarantine: crash reports, the status of a request, and the messages that
+ * daemons exchange about them.
  */
 #pragma once
 
@@ -13,54 +14,53 @@
 
 namespace dunehook {
 
-/** A request was under way at a runner whose connection broke. */
+/** A report that the connection to a runner broke while it ran a request. */
 struct crash_report
 {
   request_fingerprint mRequest; ///< The request.
-  service_runner_id mRunner;    ///< The runner's life.
-  bool mProgressed = false;     ///< Its caller had something of this run's answer.
+  service_runner_id mRunner;    ///< The incarnation of the runner.
+  bool mProgressed = false;     ///< The caller had received part of this run's answer.
 
   auto operator<=>(const crash_report&) const = default;
 };
 
-/** How a request stands. */
+/** Whether a request may be sent to runners. */
 enum class quarantine_status
 {
-  eClear,       ///< Nothing is known against it.
-  eSuspected,   ///< It was under way at two crashes; where it's served, that is told.
-  eQuarantined, ///< It's sent to no runner.
+  eClear,       ///< Nothing is recorded against it.
+  eSuspected,   ///< It was running at two crashes; its completion is sent to the other daemons.
+  eQuarantined, ///< It isn't sent to any runner.
 };
 
-/** What daemons tell each other of a request that isn't clear. */
+/** The status of a request that isn't clear, as sent to other daemons. */
 struct quarantine_notice
 {
   request_fingerprint mRequest;                              ///< The request.
   quarantine_status mStatus = quarantine_status::eSuspected; ///< Never eClear.
-  duration mAge{ 0 };                                        ///< Time since it came to stand so.
+  duration mAge{ 0 };                                        ///< Time since it got this status.
 
   auto operator<=>(const quarantine_notice&) const = default;
 };
 
-/** What daemons tell each other of crashes and quarantines. */
+/** A message between daemons about crashes and quarantines. */
 struct quarantine_message
 {
-  std::vector<crash_report> mCrashes;       ///< Seen by the sender.
-  std::vector<request_fingerprint> mServed; ///< Served whole by the sender.
+  std::vector<crash_report> mCrashes;       ///< Observed by the sender.
+  std::vector<request_fingerprint> mServed; ///< Completed by the sender.
   std::vector<quarantine_notice> mNotices;  ///< Requests that aren't clear.
   std::optional<std::uint64_t>
-    mSenderDigest; ///< Asks for notices where the receiver's digest differs.
-  bool mAlwaysAnswer =
-    false; ///< mSenderDigest is to be answered in any case: the sender has just started.
-  bool mSynchronized = false; ///< The sender knows of all quarantines that the others knew of.
+    mSenderDigest;            ///< Requests the receiver's quarantines if its digest differs.
+  bool mAlwaysAnswer = false; ///< Answer even if the digests agree: the sender has just started.
+  bool mSynchronized = false; ///< The sender knows all quarantines that the others knew.
 
   bool operator==(const quarantine_message&) const = default;
 };
 
-/** A quarantine as the store keeps it. */
+/** A quarantine as it's kept in the store. */
 struct quarantine_record
 {
   request_fingerprint mRequest; ///< The request.
-  std::uint64_t mSince = 0;     ///< Unix time in ms of its begin.
+  std::uint64_t mSince = 0;     ///< Unix time in ms at which it began.
 
   auto operator<=>(const quarantine_record&) const = default;
 };
--- a/src/quarantine/request_fingerprint.h
+++ b/src/quarantine/request_fingerprint.h
@@ -1,6 +1,6 @@
 /**
  * @file request_fingerprint.h
- * By what the tries of one request are known to be alike, whichever daemon they come to. Pure.
+ * Recognizes repeated attempts of one request, whichever daemon receives them.
  */
 #pragma once
 
@@ -11,22 +11,23 @@
 namespace dunehook {
 
 struct request_fingerprint_tag;
-/** Hash of what a request asks for. Its tries have ids of their own and the same fingerprint. */
+/** Hash of a request's content. Its attempts differ in their ids, but share the fingerprint. */
 using request_fingerprint = strong_id<request_fingerprint_tag>;
 
-/** What the tries of one request have in common. */
+/** The parts that all attempts of one request have in common. */
 struct request_identity
 {
-  std::string_view mMethod;     ///< HTTP method.
-  std::string_view mHost;       ///< Host that the caller names.
-  std::string_view mTarget;     ///< Path and query.
-  std::string_view mCaller;     ///< Address of the caller's host; empty if it doesn't matter.
+  std::string_view mMethod; ///< HTTP method.
+  std::string_view mHost;   ///< Host header.
+  std::string_view mTarget; ///< Path and query.
+  std::string_view
+    mCaller; ///< Address of the caller's host; empty if it isn't part of the identity.
   std::uint64_t mPromptKey = 0; ///< Hash of the prompt's own part; 0 if there's none.
   std::string_view mBody;       ///< Whole body.
 };
 
-/** @return the fingerprint; never 0. Each part is hashed with its length, so that bytes can't move
- * from one to another unseen. */
+/** @return the fingerprint; never 0. Each part is hashed with its length, so that moving bytes from
+ * one part to the next changes the fingerprint. */
 request_fingerprint
 FingerprintOf(const request_identity& aIdentity);
 
--- a/tests/platform/crash_test.cpp
+++ b/tests/platform/crash_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file crash_test.cpp
- * A request that crashes the runners that run it is kept from further runners, with real processes.
+ * Tests with real processes that a request which crashes runners is quarantined by all daemons.
  */
 #include "tests/platform/fleet_bed.h"
 
@@ -16,16 +16,16 @@
 
 namespace {
 
-/** Crashes that one request may cause before it's kept from runners. */
+/** Crashes that one request may cause before it's quarantined. */
 constexpr std::size_t kCrashLimit = 3;
-/** Time in which all daemons must know of a third crash, in ms. */
+/** Time within which all daemons must know of the third crash, in ms. */
 constexpr int kPropagationMs = 3000;
-/** The latest that a final refusal may come, in ms: a quarter of the latency target of 0.3 s, and
- * the way of a busy machine. */
+/** Longest time to the refusal of a quarantined request, in ms: a quarter of the latency target of
+ * 0.3 s, and an allowance for the delays of a busy machine. */
 constexpr std::int64_t kMaxRefusalMs = 175;
-/** Time from a crash to the runner's next life, in ms. */
+/** Time from a crash to the runner's restart, in ms. */
 constexpr int kRestartMs = 400;
-/** Time that a plain runner takes for an answer, in ms. */
+/** Time that a plain runner needs for an answer, in ms. */
 constexpr int kPlainAnswerMs = 100;
 constexpr int kPromptTokens = 2000;
 constexpr int kEvents = 10;
@@ -55,7 +55,7 @@
     mBed.StartDaemons(std::vector<platform_daemon_options>(aDaemons));
   }
 
-  /** Starts callers that do something at the same time. @return their threads. */
+  /** Runs @p aAction on several threads at once, with the number of each. @return the threads. */
   static std::vector<std::thread> StartCallers(int aCount, const std::function<void(int)>& aAction)
   {
     std::vector<std::thread> callers;
@@ -77,7 +77,7 @@
     return "r" + std::to_string(++mRequest);
   }
 
-  /** Sends a generation, as another try of the same caller if the body is the same. */
+  /** Sends a generation request. The same body makes it another attempt of the same request. */
   answer Generate(
     const std::string& aBody, std::size_t aDaemon, const std::string& aPath = "/turns/a")
   {
@@ -95,7 +95,7 @@
     return Call(mBed.Callers(aDaemon), "GET", aPath, "", CallerHeaders(mLastId));
   }
 
-  /** @return tries that reached any runner, of requests with a text in their path or body. */
+  /** @return how many attempts with a text in their path or body reached any runner. */
   std::size_t CountReached(const std::string& aText) const
   {
     std::set<std::string> ids;
@@ -114,7 +114,7 @@
     return mBed.Crashes().size();
   }
 
-  /** Has a request crash as many runners as it's let, by trying it at all daemons in turn. */
+  /** Sends a request to the daemons in turn until it has crashed kCrashLimit runners. */
   void CrashThree()
   {
     for (int i = 0; i < 8 && CrashCount() < kCrashLimit; ++i) {
@@ -123,8 +123,7 @@
     LONGS_EQUAL(kCrashLimit, CrashCount());
   }
 
-  /** Checks that a refusal came at once, and tells that the request didn't run and when to come
-   * back. */
+  /** Checks that the request was refused at once, with status 503 and a Retry-After header. */
   void CheckRefusal(const answer& aAnswer, std::int64_t aSent)
   {
     LONGS_EQUAL(503, aAnswer.mStatus);
@@ -132,7 +131,7 @@
     CHECK_TRUE(aAnswer.mHeaders.count("retry-after") == 1);
   }
 
-  /** Checks that a daemon sends the request to no runner. */
+  /** Checks that a daemon refuses the request and sends it to no runner. */
   void CheckQuarantinedAt(std::size_t aDaemon, const std::string& aPath = "/turns/a")
   {
     const std::size_t reached = CountReached(kPoison);
@@ -141,7 +140,7 @@
     LONGS_EQUAL(reached, CountReached(kPoison));
   }
 
-  /** Checks the same for all daemons. */
+  /** Checks that all daemons refuse the request and send it to no runner. */
   void CheckQuarantinedEverywhere(const std::string& aPath = "/turns/a")
   {
     for (std::size_t daemon = 0; daemon < mBed.Daemons(); ++daemon) {
@@ -154,8 +153,8 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(aMs));
   }
 
-  /** @return how many of some requests, each with a body of its own, are served at their first or
-   * second try. */
+  /** @return how many of @p aRequests, each with its own body, are served at the first or second
+   * attempt. */
   int CountServed(int aRequests)
   {
     int served = 0;
@@ -169,7 +168,7 @@
     return served;
   }
 
-  std::string mLastId; ///< Of the last request.
+  std::string mLastId; ///< Id of the last request.
 };
 
 TEST(crashes, NoDaemonSendsARequestThatCrashedThreeEnginesToAnother)
@@ -336,12 +335,13 @@
   for (int i = 1; i <= 4; ++i) {
     mBed.AddRunner("prefill-" + std::to_string(i), { "tutor", "prefill", "ready", faults });
   }
-  mBed.AddRunner("decode-1", { "tutor", "decode", "ready", faults }); // It may read itself.
+  mBed.AddRunner("decode-1",
+                 { "tutor", "decode", "ready", faults }); // It may run the prefill itself.
   mBed.PutConfig(1);
   mBed.StartDaemons(std::vector<platform_daemon_options>(3));
   for (int i = 0; i < 20 && CrashCount() < kCrashLimit; ++i) {
     Generate(kPoison, static_cast<std::size_t>(i) % 3);
-    Wait(kRestartMs / 4); // A try that comes while the readers are down is refused.
+    Wait(kRestartMs / 4); // An attempt is refused while all prefill engines are down.
   }
   CHECK_TRUE(CrashCount() >= kCrashLimit);
   Wait(kPropagationMs);
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file quarantine_test.cpp
- * Which requests are blamed for crashes of runners.
+ * Tests which requests are blamed for crashes of runners, and for how long they are quarantined.
  */
 #include "messages/run_message.h"
 #include "quarantine/crash_ledger.h"
@@ -24,10 +24,10 @@
 TEST_GROUP(quarantine)
 {
   crash_ledger mLedger;           ///< Under test.
-  instant mNow{ seconds(100) };   ///< Of the ledger's clock.
-  std::uint64_t mIncarnation = 1; ///< Last life that crashed.
+  instant mNow{ seconds(100) };   ///< Time passed to the ledger.
+  std::uint64_t mIncarnation = 1; ///< Last incarnation that crashed.
 
-  /** Lets a runner crash under some requests. Those of @p aProgressed had got events of that run.
+  /** Crashes a new runner on which some requests run. Those of @p aProgressed had received events.
    */
   void CrashRunner(const std::vector<request_fingerprint>& aNotProgressed,
                    const std::vector<request_fingerprint>& aProgressed = {})
@@ -90,7 +90,8 @@
 
 TEST(quarantine, AStreamResumedBesideACrashingRequestIsNotQuarantined)
 {
-  // Three engines end under one request; streams beside it go on at the next engine, and end there.
+  // One request crashes three engines. The streams beside it resume on the next engine each time,
+  // so they run at the same three crashes.
   for (int i = 0; i < 3; ++i) {
     CrashRunner({ kPoison }, { OtherRequest(1), OtherRequest(2) });
     mNow += milliseconds(80);
@@ -156,7 +157,7 @@
 {
   constexpr std::uint64_t kRunners = 9;
   for (std::uint64_t runner = 0; runner < kRunners; ++runner) {
-    // A stream may go on at two further runners.
+    // A stream may be resumed on two further runners.
     CrashRunner({}, { OtherRequest(runner), OtherRequest(runner + 1), OtherRequest(runner + 2) });
     mNow += milliseconds(60);
   }
