--- a/src/forward/gateway.h
+++ b/src/forward/gateway.h
@@ -268,10 +268,10 @@
   /** @return connections to one runner that may rest, by the service that takes the fewest. */
   std::size_t MostIdle() const
   {
-    std::size_t most = MostIdleConnections(std::numeric_limits<std::uint32_t>::max(), 1);
+    std::size_t most = MaxIdleConnections(std::numeric_limits<std::uint32_t>::max(), 1);
     if (mState.mRoutes) {
       for (const auto& [name, service] : mState.mRoutes->Config().mServices) {
-        most = std::min(most, MostIdleConnections(service.mMaxConnections, mState.mDaemons));
+        most = std::min(most, MaxIdleConnections(service.mMaxConnections, mState.mDaemons));
       }
     }
     return most;
@@ -293,14 +293,14 @@
                  "stood_still",
                  { { "ms", (now - slept - kTableTick).count() / 1000 } });
       }
-      mState.NoteRunnersChanged(mState.mRunners.Forget(now, mFollower.Contact().WasAway()));
+      mState.NoteRunnersChanged(mState.mRunners.RemoveGone(now, mFollower.Contact().WasAway()));
       mState.mPlacement.Prune(mState.mRunners, now);
       mState.mPool.Prune(now);
       mState.mRefused.Prune(now);
       mLink.Sweep(now);
       mPlacers.Tick(now - slept > kTableTick + kLatePass);
       mState.NoteDaemons(mLink.Members().CountServing());
-      mState.mPool.SetMostIdle(MostIdle());
+      mState.mPool.SetMaxIdle(MostIdle());
       mFollower.Tick();
       mLogTotals = TickLogging();
     }
--- a/src/forward/generation_call.h
+++ b/src/forward/generation_call.h
@@ -251,7 +251,7 @@
   bool DecodeWants() const
   {
     const runner_state* const decode = mState.mRunners.Find(mPlace.Choice().mDecode);
-    return decode == nullptr || mState.Now() >= decode->mQuietUntil;
+    return decode == nullptr || mState.Now() >= decode->mPausedUntil;
   }
 
   /** The decode engine didn't take the request. @return whether to go on with another. */
--- a/src/forward/generation_place.h
+++ b/src/forward/generation_place.h
@@ -163,7 +163,7 @@
     const placement_answer answer =
       mState.mPlacement.Choose(aDemand, aTraits, mState.mRunners, mState.Now());
     if (answer.mChoice) {
-      mState.mRunners.NoteTrials(answer.mChoice->Engines(), mState.Now());
+      mState.mRunners.NoteProbes(answer.mChoice->Engines(), mState.Now());
     }
     co_return answer;
   }
--- a/src/forward/plain_call.h
+++ b/src/forward/plain_call.h
@@ -68,7 +68,7 @@
   bool WillBeWanted() const
   {
     return mState.mRunners.HasRunner(mService.mName) &&
-           mState.mRunners.WantedFrom(mService.mName) < mArrived + MostWait();
+           mState.mRunners.AcceptsRequestsFrom(mService.mName) < mArrived + MostWait();
   }
 
   /** @return whether another runner may be tried after one that the request reached. */
@@ -319,7 +319,7 @@
     if (!mState.mRunners.HasRunner(mService.mName)) {
       return back;
     }
-    const duration rest = mState.mRunners.WantedFrom(mService.mName) - mState.Now();
+    const duration rest = mState.mRunners.AcceptsRequestsFrom(mService.mName) - mState.Now();
     return back + std::max(duration{ 0 }, rest);
   }
 
--- a/src/links/daemon_link.cpp
+++ b/src/links/daemon_link.cpp
@@ -246,7 +246,7 @@
     }
   }
   for (const service_runner_id runner : aMessage.mOrdered) {
-    mState.mRunners.NoteChanging(runner, aNow + kLongestChange);
+    mState.mRunners.NoteRoleChange(runner, aNow + kMaxRoleChangeTime);
   }
 }
 
--- a/src/placement/placement_queue.cpp
+++ b/src/placement/placement_queue.cpp
@@ -110,7 +110,7 @@
   mPlaced.Note(aNow);
   reply.mChoice = *answer.mChoice;
   mPlacement.Begin(RunOf(demand, *answer.mChoice, aWaiting.mDaemon, aNow), aNow);
-  mRunners.NoteTrials(answer.mChoice->Engines(), aNow);
+  mRunners.NoteProbes(answer.mChoice->Engines(), aNow);
   return reply;
 }
 
--- a/src/roles/role_controller.h
+++ b/src/roles/role_controller.h
@@ -145,7 +145,7 @@
     const unsigned status = answer ? answer.value().mStatus : 0;
     if (status == 202) {
       ++mOrdersTaken[aChange.mRunner];
-      mState.mRunners.NoteChanging(aChange.mRunner, mState.Now() + kLongestChange);
+      mState.mRunners.NoteRoleChange(aChange.mRunner, mState.Now() + kMaxRoleChangeTime);
       run_message message;
       message.mOrdered.push_back(aChange.mRunner);
       mState.mTell(std::move(message));
--- a/src/runners/engine_client.cpp
+++ b/src/runners/engine_client.cpp
@@ -65,7 +65,7 @@
 }
 
 bool
-Echoes(const json& aBody, const attempt_id& aAttempt)
+EchoesAttempt(const json& aBody, const attempt_id& aAttempt)
 {
   return aBody.value("attempt", std::string()) == ToText(aAttempt);
 }
@@ -75,19 +75,19 @@
 result<void>
 token_parser::Take(std::string_view aBytes, std::vector<token>& aOut)
 {
-  mRest += aBytes;
+  mPartialLine += aBytes;
   std::size_t start = 0;
-  for (std::size_t end = mRest.find('\n'); end != std::string::npos;
-       end = mRest.find('\n', start)) {
-    BOOST_OUTCOME_TRY(TakeLine(std::string_view(mRest).substr(start, end - start), aOut));
+  for (std::size_t end = mPartialLine.find('\n'); end != std::string::npos;
+       end = mPartialLine.find('\n', start)) {
+    BOOST_OUTCOME_TRY(ParseLine(std::string_view(mPartialLine).substr(start, end - start), aOut));
     start = end + 1;
   }
-  mRest.erase(0, start);
+  mPartialLine.erase(0, start);
   return boost::outcome_v2::success();
 }
 
 result<void>
-token_parser::TakeLine(std::string_view aLine, std::vector<token>& aOut)
+token_parser::ParseLine(std::string_view aLine, std::vector<token>& aOut)
 {
   if (!aLine.starts_with(kDataPrefix)) {
     return boost::outcome_v2::success();
@@ -137,7 +137,7 @@
     mPool.NoteEnd(aEngine, body.error());
     co_return body.error();
   }
-  if (!Echoes(body.value(), aCall.mAttempt)) {
+  if (!EchoesAttempt(body.value(), aCall.mAttempt)) {
     connection->Abort();
     co_return make_error_code(errc::eWrongAnswer);
   }
@@ -159,7 +159,7 @@
   if (!answer) {
     co_return answer.error();
   }
-  if (!Echoes(answer.value(), aCall.mAttempt)) {
+  if (!EchoesAttempt(answer.value(), aCall.mAttempt)) {
     co_return make_error_code(errc::eWrongAnswer);
   }
   co_return boost::outcome_v2::success();
--- a/src/runners/engine_client.h
+++ b/src/runners/engine_client.h
@@ -83,11 +83,11 @@
   bool Done() const { return mDone; }
 
 private:
-  result<void> TakeLine(std::string_view aLine, std::vector<token>& aOut);
+  result<void> ParseLine(std::string_view aLine, std::vector<token>& aOut);
 
-  std::string mAttempt; ///< Expected in each event.
-  std::string mRest;    ///< Bytes of an event that isn't whole.
-  bool mDone = false;   ///< The last event came.
+  std::string mAttempt;     ///< Expected in each event.
+  std::string mPartialLine; ///< Bytes of an event that isn't whole.
+  bool mDone = false;       ///< The last event came.
 };
 
 /** Calls to engines over kept connections. */
--- a/src/runners/role_timing.h
+++ b/src/runners/role_timing.h
@@ -10,6 +10,6 @@
 
 /** An engine that took an order gets no work until its entry changes, or for this long: its runs
  * end first, and then it's out of work for some seconds. */
-inline constexpr duration kLongestChange = std::chrono::seconds(20);
+inline constexpr duration kMaxRoleChangeTime = std::chrono::seconds(20);
 
 } // namespace dunehook
--- a/src/runners/runner_choice.cpp
+++ b/src/runners/runner_choice.cpp
@@ -11,19 +11,19 @@
 namespace {
 
 /** First and longest avoidance of a runner that can't be reached. */
-constexpr duration kFirstBackOff = std::chrono::milliseconds(150);
-constexpr duration kLongestBackOff = std::chrono::milliseconds(1200);
+constexpr duration kInitialBackOff = std::chrono::milliseconds(150);
+constexpr duration kMaxBackOff = std::chrono::milliseconds(1200);
 /** A trial of an engine that wasn't reached lately ends by itself after this: the limit of a call
  * for a place, and the way of what is told. Without trials every caller waits out that limit at an
- * engine that stays silent. */
-constexpr duration kTrialLasts = std::chrono::milliseconds(300);
+ * engine that remains silent. */
+constexpr duration kProbeTimeout = std::chrono::milliseconds(300);
 /** Avoidance of a runner that refused: about the time in which a place comes free. */
 constexpr duration kRefusedBackOff = std::chrono::milliseconds(30);
 /** An entry that a runner contradicted is followed again after this, if it hasn't changed: reads of
  * the store may be some seconds behind. */
-constexpr duration kMisdirectedRest = std::chrono::seconds(4);
+constexpr duration kMisdirectedBackOff = std::chrono::seconds(4);
 /** The avoidance doubles with each refusal in a row, up to about a second. */
-constexpr std::uint32_t kMostRefusalSteps = 5;
+constexpr std::uint32_t kMaxRefusalDoublings = 5;
 /** Weight of the newest outcome; a run of about ten decides. */
 constexpr double kOutcomeWeight = 0.12;
 /** Failures beyond the best runner's by this share don't count: services fail by themselves. */
@@ -31,7 +31,7 @@
 /** How much a share of failures beyond the slack weighs against load. */
 constexpr double kFailurePenalty = 12.0;
 /** Part of a tie-breaking draw in a runner's score; below the weight of one request. */
-constexpr double kDrawWeight = 0.5;
+constexpr double kTieBreakWeight = 0.5;
 
 } // namespace
 
@@ -59,21 +59,21 @@
 runner_table::TakesWork(const runner_state& aRunner, instant aNow) const
 {
   return !aRunner.mDraining && !aRunner.mGone && aNow >= aRunner.mAvoidUntil &&
-         aNow >= aRunner.mMisdirectedUntil && aNow >= aRunner.mChangingUntil &&
-         aNow >= aRunner.mTrialUntil;
+         aNow >= aRunner.mMisdirectedUntil && aNow >= aRunner.mRoleChangeUntil &&
+         aNow >= aRunner.mProbeUntil;
 }
 
 bool
 runner_table::MayReceive(const runner_state& aRunner, instant aNow) const
 {
-  return !aRunner.mDraining && !aRunner.mGone && aNow >= aRunner.mQuietUntil;
+  return !aRunner.mDraining && !aRunner.mGone && aNow >= aRunner.mPausedUntil;
 }
 
 std::vector<service_runner_id>
 runner_table::Barred(instant aNow) const
 {
   std::vector<service_runner_id> barred;
-  for (const service_runner_id id : mNoticed) {
+  for (const service_runner_id id : mSelfReported) {
     const runner_state* const runner = Find(id);
     if (runner != nullptr && !MayReceive(*runner, aNow)) {
       barred.push_back(id);
@@ -83,13 +83,13 @@
 }
 
 instant
-runner_table::WantedFrom(const std::string& aService) const
+runner_table::AcceptsRequestsFrom(const std::string& aService) const
 {
   instant from = instant::max();
   for (const auto& [id, runner] : mRunners) {
-    const bool stays = !runner.mDraining && !runner.mGone;
-    if (stays && runner.mEntry.mService == aService) {
-      from = std::min(from, runner.mQuietUntil);
+    const bool remains = !runner.mDraining && !runner.mGone;
+    if (remains && runner.mEntry.mService == aService) {
+      from = std::min(from, runner.mPausedUntil);
     }
   }
   return from;
@@ -104,8 +104,8 @@
   std::vector<runner_state*> candidates;
   double bestShare = 1.0;
   for (auto& [id, state] : mRunners) {
-    const bool may = TakesWork(state, aNow) && MayReceive(state, aNow);
-    if (state.mEntry.mService == aService && may && aTried.count(id) == 0) {
+    const bool available = TakesWork(state, aNow) && MayReceive(state, aNow);
+    if (state.mEntry.mService == aService && available && aTried.count(id) == 0) {
       candidates.push_back(&state);
       bestShare = std::min(bestShare, state.mFailureShare);
     }
@@ -117,7 +117,7 @@
     draw = draw * 7.0 - static_cast<double>(static_cast<int>(draw * 7.0));
     const double excess = std::max(0.0, candidate->mFailureShare - bestShare - kFailureSlack);
     const double load = 1.0 + static_cast<double>(candidate->mUnderWay);
-    const double score = load * (1.0 + kFailurePenalty * excess) + kDrawWeight * draw;
+    const double score = load * (1.0 + kFailurePenalty * excess) + kTieBreakWeight * draw;
     if (best == nullptr || score < bestScore) {
       best = candidate;
       bestScore = score;
@@ -136,20 +136,20 @@
 }
 
 void
-runner_table::NoteChanging(service_runner_id aId, instant aUntil)
+runner_table::NoteRoleChange(service_runner_id aId, instant aUntil)
 {
   if (runner_state* const state = Find(aId)) {
-    state->mChangingUntil = aUntil;
+    state->mRoleChangeUntil = aUntil;
   }
 }
 
 void
-runner_table::NoteTrials(const std::vector<service_runner_id>& aEngines, instant aNow)
+runner_table::NoteProbes(const std::vector<service_runner_id>& aEngines, instant aNow)
 {
   for (const service_runner_id engine : aEngines) {
     runner_state* const state = Find(engine);
     if (state != nullptr && state->mBackOff > duration{ 0 }) {
-      state->mTrialUntil = aNow + kTrialLasts;
+      state->mProbeUntil = aNow + kProbeTimeout;
     }
   }
 }
@@ -158,7 +158,7 @@
 runner_table::NoteReached(service_runner_id aId)
 {
   if (runner_state* const state = Find(aId)) {
-    state->mTrialUntil = instant{ 0 };
+    state->mProbeUntil = instant{ 0 };
   }
 }
 
@@ -170,16 +170,16 @@
     return false;
   }
   state->mDraining = true;
-  mNoticed.insert(aId);
+  mSelfReported.insert(aId);
   return true;
 }
 
 void
-runner_table::NoteQuiet(service_runner_id aId, instant aUntil)
+runner_table::NotePause(service_runner_id aId, instant aUntil)
 {
   if (runner_state* const state = Find(aId)) {
-    state->mQuietUntil = std::max(state->mQuietUntil, aUntil);
-    mNoticed.insert(aId);
+    state->mPausedUntil = std::max(state->mPausedUntil, aUntil);
+    mSelfReported.insert(aId);
   }
 }
 
@@ -190,9 +190,9 @@
   if (state == nullptr || aOutcome == send_outcome::eAbandoned) {
     return;
   }
-  state->mTrialUntil = instant{ 0 };
+  state->mProbeUntil = instant{ 0 };
   if (aOutcome == send_outcome::eMisdirected) {
-    state->mMisdirectedUntil = aNow + kMisdirectedRest;
+    state->mMisdirectedUntil = aNow + kMisdirectedBackOff;
     return;
   }
   if (aOutcome == send_outcome::eRefused) {
@@ -200,9 +200,9 @@
     // One refusal says that it's full; several in a row say that an engine takes nothing now, since
     // it's given work only where it should have room. Plain services are full for moments only.
     const bool engine = state->mEntry.mRole != engine_role::eNone;
-    const std::uint32_t steps = engine ? std::min(state->mRefusals - 1, kMostRefusalSteps) : 0;
-    const duration rest = kRefusedBackOff * (std::int64_t{ 1 } << steps);
-    state->mAvoidUntil = std::max(state->mAvoidUntil, aNow + rest);
+    const std::uint32_t steps = engine ? std::min(state->mRefusals - 1, kMaxRefusalDoublings) : 0;
+    const duration backOff = kRefusedBackOff * (std::int64_t{ 1 } << steps);
+    state->mAvoidUntil = std::max(state->mAvoidUntil, aNow + backOff);
     return;
   }
   const double failed = aOutcome == send_outcome::eServed ? 0.0 : 1.0;
@@ -212,7 +212,7 @@
     state->mRefusals = 0;
   }
   if (aOutcome == send_outcome::eUnreachable) {
-    state->mBackOff = std::clamp(state->mBackOff * 2, kFirstBackOff, kLongestBackOff);
+    state->mBackOff = std::clamp(state->mBackOff * 2, kInitialBackOff, kMaxBackOff);
     state->mAvoidUntil = aNow + state->mBackOff;
   }
 }
--- a/src/runners/runner_table.cpp
+++ b/src/runners/runner_table.cpp
@@ -13,11 +13,11 @@
 
 /** An entry that lapsed while the store was away may come back this long after its return, and one
  * that is lost with what an older copy lacks. */
-constexpr duration kLapseGrace = std::chrono::milliseconds(2500);
+constexpr duration kExpiryGrace = std::chrono::milliseconds(2500);
 /** A life that ended, or the newest of a runner, is remembered for so long after its row has gone,
  * should an older entry be seen once more: longer than a runner serves on after its leave, and than
  * a store is away. */
-constexpr duration kLeftKeptFor = std::chrono::minutes(10);
+constexpr duration kEndedRetention = std::chrono::minutes(10);
 
 } // namespace
 
@@ -29,23 +29,23 @@
     return changed;
   }
   const bool wentBack = Advance(aListing.mEnd, aNow);
-  if (aListing.mSame) {
+  if (aListing.mUnchanged) {
     MarkGone(aNow, aAway);
     return changed;
   }
-  mOpen.clear();
+  mDeferredEntries.clear();
   std::set<std::string> seen;
   for (const runner_entry& entry : aListing.mRunners) {
     seen.insert(entry.mName);
-    if (aNow < mSettledAt && Contradicts(entry)) {
-      mOpen.push_back(entry);
+    if (aNow < mReconciledAt && Contradicts(entry)) {
+      mDeferredEntries.push_back(entry);
     } else {
-      TakeEntry(entry, aNow, changed);
+      ApplyEntry(entry, aNow, changed);
     }
   }
   for (auto& [id, state] : mRunners) {
     if (state.mListed && seen.count(state.mEntry.mName) == 0) {
-      Unlist(state, aNow, wentBack);
+      MarkUnlisted(state, aNow, wentBack);
       changed.push_back(id);
     }
   }
@@ -62,12 +62,12 @@
   }
   const bool wentBack = Advance(aChanges.mTo, aNow);
   for (const runner_entry& entry : aChanges.mListed) {
-    TakeEntry(entry, aNow, changed);
+    ApplyEntry(entry, aNow, changed);
   }
   for (const std::string& name : aChanges.mDropped) {
     runner_state* const state = FindNamed(name);
     if (state != nullptr && state->mListed) {
-      Unlist(*state, aNow, wentBack);
+      MarkUnlisted(*state, aNow, wentBack);
       changed.push_back(state->mId);
     }
   }
@@ -81,7 +81,7 @@
   const bool wentBack = mEnd != store_mark{} && aEnd.mEra > mEnd.mEra;
   mEnd = aEnd;
   if (wentBack) {
-    mSettledAt = aNow + kLapseGrace;
+    mReconciledAt = aNow + kExpiryGrace;
   }
   return wentBack;
 }
@@ -92,21 +92,21 @@
   const service_runner_id id = RunnerIdOf(aEntry.mName, aEntry.mBorn);
   const runner_state* const known = Find(id);
   if (known == nullptr) {
-    return mEnded.count(id) > 0;
+    return mEndedIncarnations.count(id) > 0;
   }
   return known->mGone || (known->mEntry != aEntry && !aEntry.mLeaving);
 }
 
 void
-runner_table::TakeEntry(const runner_entry& aEntry,
-                        instant aNow,
-                        std::vector<service_runner_id>& aChanged)
+runner_table::ApplyEntry(const runner_entry& aEntry,
+                         instant aNow,
+                         std::vector<service_runner_id>& aChanged)
 {
-  if (EndFormerLife(aEntry, aNow, aChanged)) {
+  if (EndFormerIncarnation(aEntry, aNow, aChanged)) {
     return;
   }
   const service_runner_id id = RunnerIdOf(aEntry.mName, aEntry.mBorn);
-  mNewest[aEntry.mName] = { id, aEntry.mBorn };
+  mNewestIncarnations[aEntry.mName] = { id, aEntry.mBorn };
   const auto [place, fresh] = mRunners.try_emplace(id);
   runner_state& state = place->second;
   const bool differs = state.mEntry != aEntry;
@@ -116,30 +116,30 @@
   state.mId = id;
   if (differs) {
     state.mMisdirectedUntil = instant{ 0 };
-    state.mChangingUntil = instant{ 0 };
+    state.mRoleChangeUntil = instant{ 0 };
   }
   state.mEntry = aEntry;
-  const auto ended = mEnded.find(id);
-  const bool left = ended != mEnded.end() && ended->second.mLeft;
+  const auto ended = mEndedIncarnations.find(id);
+  const bool left = ended != mEndedIncarnations.end() && ended->second.mLeft;
   state.mDraining = state.mDraining || aEntry.mLeaving || left;
   state.mListed = true;
   state.mGone = false;
 }
 
 bool
-runner_table::EndFormerLife(const runner_entry& aEntry,
-                            instant aNow,
-                            std::vector<service_runner_id>& aChanged)
+runner_table::EndFormerIncarnation(const runner_entry& aEntry,
+                                   instant aNow,
+                                   std::vector<service_runner_id>& aChanged)
 {
-  const auto newest = mNewest.find(aEntry.mName);
-  if (newest == mNewest.end() || newest->second.mBorn == aEntry.mBorn) {
+  const auto newest = mNewestIncarnations.find(aEntry.mName);
+  if (newest == mNewestIncarnations.end() || newest->second.mBorn == aEntry.mBorn) {
     return false;
   }
   if (newest->second.mBorn > aEntry.mBorn) {
     return true;
   }
   if (runner_state* const former = Find(newest->second.mId)) {
-    Unlist(*former, aNow, false);
+    MarkUnlisted(*former, aNow, false);
     former->mGone = true; // No lapse: the same runner says that it began anew.
     aChanged.push_back(former->mId);
   }
@@ -147,9 +147,9 @@
 }
 
 void
-runner_table::Unlist(runner_state& aRunner, instant aNow, bool aWentBack)
+runner_table::MarkUnlisted(runner_state& aRunner, instant aNow, bool aWentBack)
 {
-  aRunner.mKeptUntil = aWentBack ? aNow + kLapseGrace : instant{ 0 };
+  aRunner.mGraceUntil = aWentBack ? aNow + kExpiryGrace : instant{ 0 };
   aRunner.mListed = false;
   aRunner.mUnlistedAt = aNow;
 }
@@ -158,35 +158,36 @@
 runner_table::MarkGone(instant aNow, bool aAway)
 {
   for (auto& [id, state] : mRunners) {
-    const bool away = aAway || aNow < state.mKeptUntil;
-    const bool lapseOver = !away || aNow - state.mUnlistedAt > kLapseGrace;
+    const bool away = aAway || aNow < state.mGraceUntil;
+    const bool lapseOver = !away || aNow - state.mUnlistedAt > kExpiryGrace;
     state.mGone = state.mGone || (!state.mListed && lapseOver);
   }
 }
 
 std::vector<service_runner_id>
-runner_table::Forget(instant aNow, bool aAway)
+runner_table::RemoveGone(instant aNow, bool aAway)
 {
   std::vector<service_runner_id> changed;
-  if (aNow >= mSettledAt) {
-    for (const runner_entry& entry : std::exchange(mOpen, {})) {
-      TakeEntry(entry, aNow, changed);
+  if (aNow >= mReconciledAt) {
+    for (const runner_entry& entry : std::exchange(mDeferredEntries, {})) {
+      ApplyEntry(entry, aNow, changed);
     }
   }
   MarkGone(aNow, aAway);
-  std::erase_if(mEnded, [&](const auto& aRow) { return aNow - aRow.second.mAt > kLeftKeptFor; });
+  std::erase_if(mEndedIncarnations,
+                [&](const auto& aRow) { return aNow - aRow.second.mAt > kEndedRetention; });
   std::erase_if(mRunners, [&](const auto& aRow) {
     const bool over = aRow.second.mGone && aRow.second.mUnderWay == 0;
     if (over) {
-      mEnded[aRow.first] = { aNow, aRow.second.mDraining };
+      mEndedIncarnations[aRow.first] = { aNow, aRow.second.mDraining };
     }
     return over;
   });
-  std::erase_if(mNewest, [&](const auto& aRow) {
+  std::erase_if(mNewestIncarnations, [&](const auto& aRow) {
     const service_runner_id id = aRow.second.mId;
-    return mEnded.count(id) == 0 && Find(id) == nullptr;
+    return mEndedIncarnations.count(id) == 0 && Find(id) == nullptr;
   });
-  std::erase_if(mNoticed, [&](service_runner_id aId) { return Find(aId) == nullptr; });
+  std::erase_if(mSelfReported, [&](service_runner_id aId) { return Find(aId) == nullptr; });
   return changed;
 }
 
@@ -207,15 +208,15 @@
 runner_state*
 runner_table::FindNamed(const std::string& aName)
 {
-  const auto found = mNewest.find(aName);
-  return found == mNewest.end() ? nullptr : Find(found->second.mId);
+  const auto found = mNewestIncarnations.find(aName);
+  return found == mNewestIncarnations.end() ? nullptr : Find(found->second.mId);
 }
 
 const runner_state*
 runner_table::FindNamed(const std::string& aName) const
 {
-  const auto found = mNewest.find(aName);
-  return found == mNewest.end() ? nullptr : Find(found->second.mId);
+  const auto found = mNewestIncarnations.find(aName);
+  return found == mNewestIncarnations.end() ? nullptr : Find(found->second.mId);
 }
 
 } // namespace dunehook
--- a/src/runners/runner_table.h
+++ b/src/runners/runner_table.h
@@ -22,18 +22,20 @@
   runner_entry mEntry;         ///< As last listed.
   bool mListed = true;         ///< It was in the newest listing.
   instant mUnlistedAt{ 0 };    ///< When it was first missing.
-  instant mKeptUntil{ 0 };     ///< Missing since the store went back: not gone before this.
+  instant mGraceUntil{ 0 };    ///< Missing since the store went back: not gone before this.
   bool mGone = false;          ///< Missing for longer than a lapse may last.
   bool mDraining = false;      ///< It said that it leaves; never false again within this life.
-  instant mQuietUntil{ 0 };    ///< It told this daemon that it wants nothing before this.
+  instant mPausedUntil{ 0 };   ///< It told this daemon that it wants nothing before this.
   std::uint32_t mUnderWay = 0; ///< Requests of this daemon there.
   double mFailureShare = 0.0;  ///< Of late, by outcome; within 0 and 1.
   instant mAvoidUntil{ 0 };    ///< No new work before this.
-  instant mChangingUntil{ 0 }; ///< It was ordered to another role: no work until its entry changes.
+  instant mRoleChangeUntil{
+    0
+  };                           ///< It was ordered to another role: no work until its entry changes.
   std::uint32_t mRefusals = 0; ///< Refusals since it last served.
   instant mMisdirectedUntil{ 0 }; ///< Its entry is out of date: no work until it changes.
   duration mBackOff{ 0 };         ///< Last span of avoidance; grows while it stays unreachable.
-  instant mTrialUntil{
+  instant mProbeUntil{
     0
   }; ///< A request finds out whether it's reached again: no other until then.
 };
@@ -64,7 +66,7 @@
 
   /** Drops runners that are gone and have no work left, and takes in what was left open; call it
    * each tick. @return ids of runners that changed. */
-  std::vector<service_runner_id> Forget(instant aNow, bool aAway);
+  std::vector<service_runner_id> RemoveGone(instant aNow, bool aAway);
 
   runner_state* Find(service_runner_id aId);
   const runner_state* Find(service_runner_id aId) const;
@@ -82,7 +84,7 @@
   std::vector<service_runner_id> Barred(instant aNow) const;
   /** @return when the first runner of a service that doesn't leave wants requests again; past if
    * one does now. @pre HasRunner(). */
-  instant WantedFrom(const std::string& aService) const;
+  instant AcceptsRequestsFrom(const std::string& aService) const;
 
   /**
    * Chooses a runner of a plain service: the least loaded of those that do well.
@@ -99,11 +101,11 @@
   bool HasRunner(const std::string& aService) const;
 
   /** Notes that an engine took an order to change its role: it gives no new work a place. */
-  void NoteChanging(service_runner_id aId, instant aUntil);
+  void NoteRoleChange(service_runner_id aId, instant aUntil);
 
   /** Notes engines that a generation was given: of one that wasn't reached lately this is a trial,
    * and others are kept off it until the trial's outcome is known. */
-  void NoteTrials(const std::vector<service_runner_id>& aEngines, instant aNow);
+  void NoteProbes(const std::vector<service_runner_id>& aEngines, instant aNow);
   /** Notes that an engine was reached: a trial is over. */
   void NoteReached(service_runner_id aId);
 
@@ -111,7 +113,7 @@
    * away for longer than the runner serves on. @return whether that's news. */
   bool NoteLeaves(service_runner_id aId);
   /** Notes that a runner wants nothing from this daemon before an instant. */
-  void NoteQuiet(service_runner_id aId, instant aUntil);
+  void NotePause(service_runner_id aId, instant aUntil);
 
   /** Notes how a send ended. */
   void NoteOutcome(service_runner_id aId, send_outcome aOutcome, instant aNow);
@@ -121,14 +123,14 @@
 
 private:
   /** The newest life of a runner. */
-  struct newest_life
+  struct newest_incarnation
   {
     service_runner_id mId;   ///< Its id.
     std::uint64_t mBorn = 0; ///< When it began, in ms; never goes down.
   };
 
   /** A life whose row was dropped. */
-  struct ended_life
+  struct ended_incarnation
   {
     instant mAt{ 0 };   ///< When.
     bool mLeft = false; ///< It had said that it leaves.
@@ -139,26 +141,29 @@
   /** @return whether an entry of an older copy contradicts what is known. */
   bool Contradicts(const runner_entry& aEntry) const;
   /** Takes in an entry, and adds the lives that change by it to @p aChanged. */
-  void TakeEntry(const runner_entry& aEntry,
-                 instant aNow,
-                 std::vector<service_runner_id>& aChanged);
+  void ApplyEntry(const runner_entry& aEntry,
+                  instant aNow,
+                  std::vector<service_runner_id>& aChanged);
   /** Ends the life before @p aEntry of the same runner, if there's one. @return whether @p aEntry
    * is of a life before the newest one known. */
-  bool EndFormerLife(const runner_entry& aEntry,
-                     instant aNow,
-                     std::vector<service_runner_id>& aChanged);
+  bool EndFormerIncarnation(const runner_entry& aEntry,
+                            instant aNow,
+                            std::vector<service_runner_id>& aChanged);
   /** Notes that a runner has no entry. @param aWentBack since the store came back older. */
-  void Unlist(runner_state& aRunner, instant aNow, bool aWentBack);
+  void MarkUnlisted(runner_state& aRunner, instant aNow, bool aWentBack);
   /** Marks runners as gone that are missing for longer than a lapse may last. */
   void MarkGone(instant aNow, bool aAway);
 
   std::unordered_map<service_runner_id, runner_state> mRunners; ///< By id.
-  std::map<std::string, newest_life> mNewest; ///< By name; outlives the life's row.
-  std::set<service_runner_id> mNoticed; ///< Rows that may be barred: those that told anything.
-  std::map<service_runner_id, ended_life> mEnded; ///< Lives whose rows were dropped.
-  std::vector<runner_entry> mOpen; ///< Entries that contradict what is known, until mSettledAt.
-  instant mSettledAt{ 0 };         ///< When an older copy has been written up to date.
-  store_mark mEnd;                 ///< Position of the newest read; never goes down.
+  std::map<std::string, newest_incarnation>
+    mNewestIncarnations;                     ///< By name; outlives the life's row.
+  std::set<service_runner_id> mSelfReported; ///< Rows that may be barred: those that told anything.
+  std::map<service_runner_id, ended_incarnation>
+    mEndedIncarnations; ///< Lives whose rows were dropped.
+  std::vector<runner_entry>
+    mDeferredEntries;         ///< Entries that contradict what is known, until mReconciledAt.
+  instant mReconciledAt{ 0 }; ///< When an older copy has been written up to date.
+  store_mark mEnd;            ///< Position of the newest read; never goes down.
 };
 
 } // namespace dunehook
--- a/src/runners/runner_type.h
+++ b/src/runners/runner_type.h
@@ -105,7 +105,8 @@
 {
   std::vector<runner_entry> mRunners; ///< All that have an entry.
   store_mark mEnd;                    ///< Position of the read; an older read has a lower one.
-  bool mSame = false; ///< Nothing changed since the reader's last read; mRunners is left empty.
+  bool mUnchanged =
+    false; ///< Nothing changed since the reader's last read; mRunners is left empty.
 };
 
 /** What changed in the list of runners between two positions of the store. Applied to a list that
--- a/src/runners/upstream_connection.cpp
+++ b/src/runners/upstream_connection.cpp
@@ -15,25 +15,29 @@
 
 constexpr std::size_t kReadBytes = 8192;
 /** Unacknowledged bytes end a connection after this; peers that are gone say nothing. */
-constexpr int kPeerSilenceMs = 900;
+constexpr int kUnacknowledgedTimeoutMs = 900;
 /** An idle or waiting connection is probed after this many seconds, and each second after. */
 constexpr int kProbeAfterSeconds = 1;
 /** How long a connection may rest if the runner doesn't say. */
-constexpr duration kDefaultKeep = std::chrono::milliseconds(1500);
+constexpr duration kDefaultKeepAlive = std::chrono::milliseconds(1500);
 /** A kept connection counts as proven this long after its last answer. */
-constexpr duration kProvenFor = std::chrono::milliseconds(400);
+constexpr duration kProvenAge = std::chrono::milliseconds(400);
 /** Most connections to one runner that rest, however many it takes: peaks are short. */
-constexpr std::size_t kMostIdle = 8;
+constexpr std::size_t kMaxIdle = 8;
 /** Taken off the time that a runner keeps idle connections, for clocks and the way. */
-constexpr duration kKeepMargin = std::chrono::milliseconds(700);
+constexpr duration kKeepAliveMargin = std::chrono::milliseconds(700);
 
 /** Makes the kernel end a connection whose peer is silent. Failure leaves the defaults in place. */
 void
-WatchPeer(tcp::socket& aSocket)
+EnableDeadPeerDetection(tcp::socket& aSocket)
 {
   const int handle = aSocket.native_handle();
   const int on = 1;
-  ::setsockopt(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &kPeerSilenceMs, sizeof kPeerSilenceMs);
+  ::setsockopt(handle,
+               IPPROTO_TCP,
+               TCP_USER_TIMEOUT,
+               &kUnacknowledgedTimeoutMs,
+               sizeof kUnacknowledgedTimeoutMs);
   ::setsockopt(handle, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
   ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &kProbeAfterSeconds, sizeof kProbeAfterSeconds);
   ::setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &kProbeAfterSeconds, sizeof kProbeAfterSeconds);
@@ -46,7 +50,7 @@
 upstream_connection::Connect(const endpoint& aTo, duration aLimit)
 {
   BOOST_OUTCOME_CO_TRY(beast::tcp_stream stream, co_await ConnectStream(aTo, aLimit));
-  WatchPeer(stream.socket());
+  EnableDeadPeerDetection(stream.socket());
   co_return std::make_shared<upstream_connection>(std::move(stream));
 }
 
@@ -56,7 +60,7 @@
   if (mAborted) {
     co_return make_error_code(errc::eConnectionLost);
   }
-  mWhole = false;
+  mAnswerComplete = false;
   mWrite = std::make_shared<write_state>();
   mWrite->mHead = aRequest.mHead;
   mWrite->mBody = aRequest.mBody;
@@ -90,7 +94,7 @@
 {
   result<bool> more =
     co_await ReadPiece<kReadBytes>(mStream, mLimit, mBuffer, *mParser, aOut, aLimit);
-  mWhole = more && !more.value();
+  mAnswerComplete = more && !more.value();
   co_return more;
 }
 
@@ -98,14 +102,14 @@
 upstream_connection::Abort()
 {
   mAborted = true;
-  mWhole = false;
+  mAnswerComplete = false;
   mStream.close();
 }
 
 bool
 upstream_connection::Reusable() const
 {
-  return !mAborted && mWhole && mWrite && mWrite->mDone && mParser->keep_alive() &&
+  return !mAborted && mAnswerComplete && mWrite && mWrite->mDone && mParser->keep_alive() &&
          !mParser->need_eof() && mBuffer.size() == 0;
 }
 
@@ -125,10 +129,10 @@
 }
 
 std::size_t
-MostIdleConnections(std::uint32_t aTaken, std::size_t aDaemons)
+MaxIdleConnections(std::uint32_t aTaken, std::size_t aDaemons)
 {
   const std::size_t part = aTaken / std::max<std::size_t>(1, aDaemons) / 2;
-  return std::clamp<std::size_t>(part, 1, kMostIdle);
+  return std::clamp<std::size_t>(part, 1, kMaxIdle);
 }
 
 asio::awaitable<result<upstream_ptr>>
@@ -137,12 +141,12 @@
   auto& idle = mIdle[aTo];
   while (!idle.empty()) {
     upstream_ptr connection = idle.back();
-    const duration rested = aNow - connection->mIdleSince;
-    if (aOnlyProven && rested > kProvenFor) {
+    const duration idleTime = aNow - connection->mIdleSince;
+    if (aOnlyProven && idleTime > kProvenAge) {
       break; // Older ones lie before it; others may still use them.
     }
     idle.pop_back();
-    if (rested < connection->mKeepFor && !connection->Stale()) {
+    if (idleTime < connection->mKeepFor && !connection->Stale()) {
       co_return connection;
     }
     connection->Abort();
@@ -154,13 +158,14 @@
 upstream_pool::Give(const endpoint& aTo, const upstream_ptr& aConnection, instant aNow)
 {
   auto& idle = mIdle[aTo];
-  if (!aConnection->Reusable() || idle.size() >= mMostIdle) {
+  if (!aConnection->Reusable() || idle.size() >= mMaxIdle) {
     aConnection->Abort();
     return;
   }
-  const duration told = aConnection->mKeepFor;
-  aConnection->mKeepFor =
-    told > duration{ 0 } ? std::max(told - kKeepMargin, told / 3) : kDefaultKeep;
+  const duration statedLifetime = aConnection->mKeepFor;
+  aConnection->mKeepFor = statedLifetime > duration{ 0 }
+                            ? std::max(statedLifetime - kKeepAliveMargin, statedLifetime / 3)
+                            : kDefaultKeepAlive;
   aConnection->mIdleSince = aNow;
   idle.push_back(aConnection);
 }
--- a/src/runners/upstream_connection.h
+++ b/src/runners/upstream_connection.h
@@ -79,7 +79,7 @@
   beast::flat_buffer mBuffer;             ///< Bytes read and not parsed yet.
   std::optional<response_parser> mParser; ///< The answer under way.
   std::shared_ptr<write_state> mWrite;    ///< The request under way.
-  bool mWhole = false;                    ///< The last answer was read to its end.
+  bool mAnswerComplete = false;           ///< The last answer was read to its end.
   bool mAborted = false;                  ///< Abort() was called.
 };
 
@@ -92,7 +92,7 @@
  *   under way need the rest, and a runner resets what is over its limit.
  */
 std::size_t
-MostIdleConnections(std::uint32_t aTaken, std::size_t aDaemons);
+MaxIdleConnections(std::uint32_t aTaken, std::size_t aDaemons);
 
 /** Kept connections to runners. */
 class upstream_pool
@@ -114,10 +114,10 @@
   /** Ends connections that have rested for too long. */
   void Prune(instant aNow);
   /** @param aMost kept connections for one runner. */
-  void SetMostIdle(std::size_t aMost) { mMostIdle = aMost; }
+  void SetMaxIdle(std::size_t aMost) { mMaxIdle = aMost; }
 
 private:
-  std::size_t mMostIdle = 8;                                    ///< For one runner.
+  std::size_t mMaxIdle = 8;                                     ///< For one runner.
   std::unordered_map<endpoint, std::deque<upstream_ptr>> mIdle; ///< Newest at the back.
 };
 
--- a/src/state/forward_state.h
+++ b/src/state/forward_state.h
@@ -108,7 +108,7 @@
                { "wants_nothing_ms", aNotice.mWantsNothingFor.count() / 1000 },
                { "known_to_leave", runner->mDraining } });
     if (rests) {
-      mRunners.NoteQuiet(aRunner, Now() + aNotice.mWantsNothingFor);
+      mRunners.NotePause(aRunner, Now() + aNotice.mWantsNothingFor);
     }
     if (aNotice.mLeaves && mRunners.NoteLeaves(aRunner)) {
       NoteRunnersChanged({ aRunner });
--- a/tests/unit/forward_test.cpp
+++ b/tests/unit/forward_test.cpp
@@ -132,7 +132,7 @@
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.NoteLeaves(RunnerIdOf("a"));
   mTable.Apply(Listing(2, {}), kNow, false);
-  mTable.Forget(kNow, false);
+  mTable.RemoveGone(kNow, false);
   CHECK(mTable.Find(RunnerIdOf("a")) == nullptr);
   mTable.Apply(Listing(3, { Entry("a") }), kNow, false); // An entry of before is seen once more.
   CHECK(Pick() == nullptr);
@@ -141,10 +141,10 @@
 TEST(runners, OneThatWantsNothingIsLeftAloneUntilThenAndNoLonger)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
-  mTable.NoteQuiet(RunnerIdOf("a"), kNow + 3s);
-  mTable.NoteQuiet(RunnerIdOf("a"), kNow + 1s); // The later end counts.
+  mTable.NotePause(RunnerIdOf("a"), kNow + 3s);
+  mTable.NotePause(RunnerIdOf("a"), kNow + 1s); // The later end counts.
   CHECK(Pick(kNow + 2999ms) == nullptr);
-  CHECK(mTable.WantedFrom("desk") == kNow + 3s);
+  CHECK(mTable.AcceptsRequestsFrom("desk") == kNow + 3s);
   CHECK_TRUE(mTable.HasRunner("desk"));
   CHECK(mTable.Barred(kNow) == std::vector<service_runner_id>{ RunnerIdOf("a") });
   CHECK(Pick(kNow + 3s) != nullptr);
@@ -154,7 +154,7 @@
 TEST(runners, WhatOneTellsADaemonConcernsNoOtherDaemonsChoice)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
-  mTable.NoteQuiet(RunnerIdOf("a"), kNow + 3s);
+  mTable.NotePause(RunnerIdOf("a"), kNow + 3s);
   CHECK_TRUE(mTable.TakesWork(*mTable.Find(RunnerIdOf("a")), kNow));
 }
 
@@ -163,9 +163,9 @@
   mTable.Apply(Listing(1, { Entry("a", 100) }), kNow, false);
   const service_runner_id former = RunnerIdOf("a", 100);
   mTable.NoteLeaves(former);
-  mTable.NoteQuiet(former, kNow + 60s);
+  mTable.NotePause(former, kNow + 60s);
   mTable.NoteOutcome(former, send_outcome::eUnreachable, kNow);
-  mTable.NoteChanging(former, kNow + 60s);
+  mTable.NoteRoleChange(former, kNow + 60s);
   mTable.Find(former)->mUnderWay = 7;
   const auto changed = mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, true);
   LONGS_EQUAL(2, changed.size()); // The one that ended and the one that began.
@@ -182,7 +182,7 @@
   mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, false);
   const service_runner_id former = RunnerIdOf("a", 100);
   mTable.NoteLeaves(former);
-  mTable.NoteQuiet(former, kNow + 60s);
+  mTable.NotePause(former, kNow + 60s);
   mTable.NoteOutcome(former, send_outcome::eUnreachable, kNow);
   CHECK(Pick() != nullptr);
   mTable.Apply(Listing(3, { Entry("a", 100) }), kNow, false); // An entry of before.
@@ -194,7 +194,7 @@
   mTable.Apply(Listing(1, { Entry("a", 100) }), kNow, false);
   mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, false);
   mTable.Apply(Listing(3, {}), kNow, false);
-  mTable.Forget(kNow, false);
+  mTable.RemoveGone(kNow, false);
   CHECK_TRUE(mTable.Rows().empty());
   mTable.Apply(Listing(4, { Entry("a", 100) }), kNow, false);
   CHECK(Pick() == nullptr);
@@ -216,9 +216,9 @@
 {
   mTable.Apply(Listing(90, { Entry("a") }, 1), kNow, false);
   mTable.Apply(Listing(5, {}, 2), kNow, false); // Offsets are lower in the new era.
-  mTable.Forget(kNow + 2s, false);
+  mTable.RemoveGone(kNow + 2s, false);
   CHECK(Pick(kNow + 2s) != nullptr);
-  mTable.Forget(kNow + 2600ms, false);
+  mTable.RemoveGone(kNow + 2600ms, false);
   CHECK(Pick(kNow + 2600ms) == nullptr);
 }
 
@@ -230,9 +230,9 @@
   changes.mTo = { 2, 5 };
   changes.mDropped = { "a" };
   LONGS_EQUAL(1, mTable.ApplyChanges(changes, kNow, false).size());
-  mTable.Forget(kNow + 2s, false);
+  mTable.RemoveGone(kNow + 2s, false);
   CHECK(Pick(kNow + 2s) != nullptr);
-  mTable.Forget(kNow + 2600ms, false);
+  mTable.RemoveGone(kNow + 2600ms, false);
   CHECK(Pick(kNow + 2600ms) == nullptr);
 }
 
@@ -240,11 +240,11 @@
 {
   mTable.Apply(Listing(90, { Entry("a"), Entry("b") }, 1), kNow, false);
   mTable.Apply(Listing(91, { Entry("b") }, 1), kNow, false);
-  mTable.Forget(kNow, false);
+  mTable.RemoveGone(kNow, false);
   mTable.Apply(Listing(5, { Entry("a"), Entry("b") }, 2), kNow, false);
   CHECK_EQUAL("b", Pick()->mEntry.mName);
   mTable.Apply(Listing(6, { Entry("b") }, 2), kNow + 1s, true); // Its end is written again.
-  mTable.Forget(kNow + 3s, false);
+  mTable.RemoveGone(kNow + 3s, false);
   CHECK_EQUAL("b", Pick(kNow + 3s)->mEntry.mName);
   LONGS_EQUAL(1, mTable.Rows().size());
 }
@@ -256,9 +256,9 @@
   mTable.Apply(Listing(90, { moved }, 1), kNow, false);
   mTable.Apply(Listing(5, { Entry("a") }, 2), kNow, false);
   CHECK_EQUAL(2, Pick()->mEntry.mAddress.mPort);
-  mTable.Forget(kNow + 2s, false);
+  mTable.RemoveGone(kNow + 2s, false);
   CHECK_EQUAL(2, Pick(kNow + 2s)->mEntry.mAddress.mPort);
-  LONGS_EQUAL(1, mTable.Forget(kNow + 2600ms, false).size());
+  LONGS_EQUAL(1, mTable.RemoveGone(kNow + 2600ms, false).size());
   CHECK_EQUAL(1, Pick(kNow + 2600ms)->mEntry.mAddress.mPort);
 }
 
@@ -277,7 +277,7 @@
   mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, false);
   mTable.Apply(Listing(3, { Entry("a", 300) }), kNow, false);
   CHECK(Pick()->mEntry.mBorn == 300);
-  mTable.Forget(kNow, false);
+  mTable.RemoveGone(kNow, false);
   LONGS_EQUAL(1, mTable.Rows().size());
 }
 
@@ -286,7 +286,7 @@
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.Apply(Listing(2, {}), kNow, true);
   CHECK(Pick() != nullptr);
-  mTable.Forget(kNow + 2600ms, true);
+  mTable.RemoveGone(kNow + 2600ms, true);
   CHECK(Pick(kNow + 2600ms) == nullptr);
 }
 
@@ -312,7 +312,7 @@
   mTable.Apply(Listing(5, { Entry("a") }), kNow, false);
   runner_listing same;
   same.mEnd = { 0, 5 };
-  same.mSame = true;
+  same.mUnchanged = true;
   CHECK(mTable.Apply(same, kNow + 1s, false).empty());
   CHECK_FALSE(mTable.Find(RunnerIdOf("a"))->mGone);
   CHECK(Pick(kNow + 1s) != nullptr);
@@ -368,7 +368,7 @@
 TEST(runners, AnOrderedEngineGetsNoWorkUntilItsRoleChanges)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
-  mTable.NoteChanging(RunnerIdOf("a"), kNow + 20s);
+  mTable.NoteRoleChange(RunnerIdOf("a"), kNow + 20s);
   CHECK(Pick(kNow + 5s) == nullptr);
   runner_entry changed = Entry("a");
   changed.mRole = engine_role::ePrefill;
@@ -476,12 +476,12 @@
 TEST(connections, AllDaemonsTogetherKeepToWhatARunnerTakes)
 {
   for (const std::size_t daemons : { 1U, 8U, 24U, 85U }) {
-    CHECK(MostIdleConnections(110, daemons) * daemons <= 110);
-    CHECK(MostIdleConnections(110, daemons) >= 1);
+    CHECK(MaxIdleConnections(110, daemons) * daemons <= 110);
+    CHECK(MaxIdleConnections(110, daemons) >= 1);
   }
-  CHECK_EQUAL(8U, MostIdleConnections(10000, 8));
-  CHECK_EQUAL(6U, MostIdleConnections(110, 8));
-  CHECK_EQUAL(1U, MostIdleConnections(1, 1400));
+  CHECK_EQUAL(8U, MaxIdleConnections(10000, 8));
+  CHECK_EQUAL(6U, MaxIdleConnections(110, 8));
+  CHECK_EQUAL(1U, MaxIdleConnections(1, 1400));
 }
 
 TEST_GROUP(events){};
--- a/tests/unit/runner_test.cpp
+++ b/tests/unit/runner_test.cpp
@@ -25,7 +25,7 @@
 
 TEST_GROUP(runners){};
 
-TEST(runners, ATokenStreamMayBeTornAnywhere)
+TEST(runners, ATokenStreamIsParsedWhereverItsReadsAreSplit)
 {
   const std::string whole = Event(ToText(kAttempt), 0) + Event(ToText(kAttempt), 1) +
                             "data: {\"a\":\"" + ToText(kAttempt) + "\",\"done\":true}\n\n";
@@ -39,23 +39,23 @@
   }
 }
 
-TEST(runners, AnotherAttemptsTokenIsRefused)
+TEST(runners, ATokenOfAnotherAttemptIsRefused)
 {
   token_parser parser(kAttempt);
   std::vector<token> tokens;
-  const auto taken = parser.Take(Event("0000000000000001-3", 0), tokens);
-  CHECK_TRUE(taken.error() == errc::eWrongAnswer);
+  const auto parsed = parser.Take(Event("0000000000000001-3", 0), tokens);
+  CHECK_TRUE(parsed.error() == errc::eWrongAnswer);
   LONGS_EQUAL(0, tokens.size());
 }
 
-TEST(runners, AttemptsReadBackAsTheyAreWritten)
+TEST(runners, AttemptIdsAreParsedAsTheyAreWritten)
 {
   CHECK_TRUE(ParseAttempt(ToText(kAttempt)).value() == kAttempt);
   CHECK_FALSE(ParseAttempt("12").has_value());
   CHECK_FALSE(ParseAttempt("xyz-1").has_value());
 }
 
-TEST(runners, CompletionsCallsAreChecked)
+TEST(runners, InvalidCompletionCallsAreRefused)
 {
   std::string detail;
   CHECK_TRUE(ParseCompletion(R"({"model":"m","prompt":"p"})", detail).has_value());
@@ -67,9 +67,9 @@
 
 TEST(runners, PromptsWithACommonStartShareTheirFirstBlocks)
 {
-  const std::string guide(2 * kBlockBytes, 'g');
-  const auto one = PrefixBlocks(guide + std::string(3 * kBlockBytes, 'a'));
-  const auto two = PrefixBlocks(guide + std::string(3 * kBlockBytes, 'b'));
+  const std::string commonPrefix(2 * kBlockBytes, 'g');
+  const auto one = PrefixBlocks(commonPrefix + std::string(3 * kBlockBytes, 'a'));
+  const auto two = PrefixBlocks(commonPrefix + std::string(3 * kBlockBytes, 'b'));
   LONGS_EQUAL(4, one.size()); // 1, 2, 4 and all 5 blocks.
   CHECK_TRUE(one[1] == two[1]);
   CHECK_FALSE(one[2] == two[2]);
