--- a/src/runners/id_list_func.h
+++ b/src/runners/id_list_func.h
@@ -1,6 +1,6 @@
 /**
  * @file id_list_func.h
- * Lists of runners' ids in the messages between daemons.
+ * Encodes and decodes lists of runner ids in messages between daemons.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace dunehook {
 
-/** @return the ids as numbers. */
+/** @return the ids as a JSON array of numbers. */
 inline nlohmann::json
 IdsOf(const std::vector<service_runner_id>& aIds)
 {
@@ -23,7 +23,7 @@
   return items;
 }
 
-/** @return the ids of a list; throws json::exception if it is none. */
+/** @return the ids of a JSON array; throws json::exception if it isn't one of numbers. */
 inline std::vector<service_runner_id>
 IdsFrom(const nlohmann::json& aItems)
 {
--- a/src/runners/role_timing.h
+++ b/src/runners/role_timing.h
@@ -1,6 +1,6 @@
 /**
  * @file role_timing.h
- * How long a change of an engine's role may take.
+ * Time limit for a change of an engine's role.
  */
 #pragma once
 
@@ -8,8 +8,8 @@
 
 namespace dunehook {
 
-/** An engine that took an order gets no work until its entry changes, or for this long: its runs
- * end first, and then it's out of work for some seconds. */
+/** An engine that accepted an order to change its role gets no work until its entry changes, but at
+ * most for this long: its runs finish first, and then it's unavailable for some seconds. */
 inline constexpr duration kMaxRoleChangeTime = std::chrono::seconds(20);
 
 } // namespace dunehook
--- a/src/runners/runner_choice.cpp
+++ b/src/runners/runner_choice.cpp
@@ -1,6 +1,6 @@
 /**
  * @file runner_choice.cpp
- * Which runners may be given work, the choice among them, and how sends to them ended.
+ * Decides which runners may be given work, chooses among them, and records outcomes of sends.
  */
 #include "runners/runner_table.h"
 
@@ -10,27 +10,28 @@
 
 namespace {
 
-/** First and longest avoidance of a runner that can't be reached. */
+/** First and longest back-off from a runner that can't be reached. */
 constexpr duration kInitialBackOff = std::chrono::milliseconds(150);
 constexpr duration kMaxBackOff = std::chrono::milliseconds(1200);
 /** A trial of an engine that wasn't reached lately ends by itself after this: the limit of a call
  * for a place, and the way of what is told. Without trials every caller waits out that limit at an
  * engine that remains silent. */
 constexpr duration kProbeTimeout = std::chrono::milliseconds(300);
-/** Avoidance of a runner that refused: about the time in which a place comes free. */
+/** Back-off from a runner that refused: about the time until a slot becomes free. */
 constexpr duration kRefusedBackOff = std::chrono::milliseconds(30);
-/** An entry that a runner contradicted is followed again after this, if it hasn't changed: reads of
- * the store may be some seconds behind. */
+/** An entry that turned out to be wrong is used again after this, even if it hasn't changed: reads
+ * of the store may be some seconds behind. */
 constexpr duration kMisdirectedBackOff = std::chrono::seconds(4);
-/** The avoidance doubles with each refusal in a row, up to about a second. */
+/** The back-off doubles with each refusal in a row, up to about a second. */
 constexpr std::uint32_t kMaxRefusalDoublings = 5;
-/** Weight of the newest outcome; a run of about ten decides. */
+/** Weight of the newest outcome in the moving average, which spans about ten outcomes. */
 constexpr double kOutcomeWeight = 0.12;
-/** Failures beyond the best runner's by this share don't count: services fail by themselves. */
+/** A share of failures is only penalized beyond the best runner's plus this: services also fail by
+ * themselves. */
 constexpr double kFailureSlack = 0.12;
-/** How much a share of failures beyond the slack weighs against load. */
+/** Factor by which failures beyond the slack increase a runner's load in its score. */
 constexpr double kFailurePenalty = 12.0;
-/** Part of a tie-breaking draw in a runner's score; below the weight of one request. */
+/** Weight of the tie-breaking random number in a runner's score; below that of one request. */
 constexpr double kTieBreakWeight = 0.5;
 
 } // namespace
@@ -197,8 +198,8 @@
   }
   if (aOutcome == send_outcome::eRefused) {
     ++state->mRefusals;
-    // One refusal says that it's full; several in a row say that an engine takes nothing now, since
-    // it's given work only where it should have room. Plain services are full for moments only.
+    // One refusal means that it's full. Several in a row mean that an engine accepts nothing now,
+    // since it's only given work that should fit. Plain services are full for moments only.
     const bool engine = state->mEntry.mRole != engine_role::eNone;
     const std::uint32_t steps = engine ? std::min(state->mRefusals - 1, kMaxRefusalDoublings) : 0;
     const duration backOff = kRefusedBackOff * (std::int64_t{ 1 } << steps);
--- a/src/runners/runner_table.cpp
+++ b/src/runners/runner_table.cpp
@@ -1,6 +1,6 @@
 /**
  * @file runner_table.cpp
- * Listings of runners, and their lives.
+ * Applies listings of runners, and tracks their incarnations.
  */
 #include "runners/runner_table.h"
 
@@ -11,12 +11,12 @@
 
 namespace {
 
-/** An entry that lapsed while the store was away may come back this long after its return, and one
- * that is lost with what an older copy lacks. */
+/** Time for runners to write their entries again after the store was unreachable, so that entries
+ * expired, or after it was restored from an older copy that lacks entries. */
 constexpr duration kExpiryGrace = std::chrono::milliseconds(2500);
-/** A life that ended, or the newest of a runner, is remembered for so long after its row has gone,
- * should an older entry be seen once more: longer than a runner serves on after its leave, and than
- * a store is away. */
+/** Ended incarnations, and the newest one of each runner, are kept this long after their removal in
+ * case an outdated entry is seen again. It's longer than a runner keeps serving after its shutdown
+ * was announced, and longer than the store is unreachable. */
 constexpr duration kEndedRetention = std::chrono::minutes(10);
 
 } // namespace
@@ -140,7 +140,7 @@
   }
   if (runner_state* const former = Find(newest->second.mId)) {
     MarkUnlisted(*former, aNow, false);
-    former->mGone = true; // No lapse: the same runner says that it began anew.
+    former->mGone = true; // No expired entry: the runner itself has restarted.
     aChanged.push_back(former->mId);
   }
   return false;
--- a/src/runners/runner_table.h
+++ b/src/runners/runner_table.h
@@ -1,7 +1,7 @@
 /**
  * @file runner_table.h
- * The table of runners: which there are, which may be given new work, and how they have done.
- * Pure: it's told of listings and outcomes with their instants.
+ * The table of runners: which exist, which may be given new work, and how reliable they are. It
+ * does no I/O: the caller passes in listings, outcomes and the time.
  */
 #pragma once
 
@@ -15,48 +15,51 @@
 
 namespace dunehook {
 
-/** A runner as this daemon sees it. */
+/** State of a runner as known to this daemon. */
 struct runner_state
 {
   service_runner_id mId;       ///< Its id.
   runner_entry mEntry;         ///< As last listed.
   bool mListed = true;         ///< It was in the newest listing.
-  instant mUnlistedAt{ 0 };    ///< When it was first missing.
-  instant mGraceUntil{ 0 };    ///< Missing since the store went back: not gone before this.
-  bool mGone = false;          ///< Missing for longer than a lapse may last.
-  bool mDraining = false;      ///< It said that it leaves; never false again within this life.
-  instant mPausedUntil{ 0 };   ///< It told this daemon that it wants nothing before this.
-  std::uint32_t mUnderWay = 0; ///< Requests of this daemon there.
-  double mFailureShare = 0.0;  ///< Of late, by outcome; within 0 and 1.
+  instant mUnlistedAt{ 0 };    ///< When it was first missing from a listing.
+  instant mGraceUntil{ 0 };    ///< Missing since the store was rolled back: not gone before this.
+  bool mGone = false;          ///< Missing for longer than an expired entry may be.
+  bool mDraining = false;      ///< It announced its shutdown; final for an incarnation.
+  instant mPausedUntil{ 0 };   ///< It asked this daemon to send nothing before this.
+  std::uint32_t mUnderWay = 0; ///< Requests of this daemon running there.
+  double mFailureShare = 0.0;  ///< Moving average of failed sends, from 0 to 1.
   instant mAvoidUntil{ 0 };    ///< No new work before this.
   instant mRoleChangeUntil{
     0
-  };                           ///< It was ordered to another role: no work until its entry changes.
-  std::uint32_t mRefusals = 0; ///< Refusals since it last served.
-  instant mMisdirectedUntil{ 0 }; ///< Its entry is out of date: no work until it changes.
-  duration mBackOff{ 0 };         ///< Last span of avoidance; grows while it stays unreachable.
+  }; ///< Its role is changing: no work before this, unless its entry changes.
+  std::uint32_t mRefusals = 0; ///< Refusals since it last served a request.
+  instant mMisdirectedUntil{
+    0
+  };                      ///< Its entry is outdated: no work before this, unless the entry changes.
+  duration mBackOff{ 0 }; ///< Last back-off; grows while it's unreachable.
   instant mProbeUntil{
     0
-  }; ///< A request finds out whether it's reached again: no other until then.
+  }; ///< A request probes whether it's reachable: no other request before this.
 };
 
-/** The table. */
+/** The runners known to this daemon, by incarnation. */
 class runner_table
 {
 public:
   /**
-   * Applies a read of the discovery. One that is older than an earlier read is ignored. A store
-   * that has come back from an older copy may lack entries and hold older ones until their writers
-   * have written them again. So for a while a runner that is missing is kept, and what contradicts
-   * what is known is left open: a life that is gone doesn't come back, and an entry isn't replaced.
-   * @param aAway whether the store was away lately, so that entries may have lapsed unasked.
+   * Applies a read of service discovery. A read that is older than an earlier one is ignored. A
+   * store that was restored from an older copy may lack entries and hold outdated ones until their
+   * writers have written them again. So for kExpiryGrace a missing runner is kept, and entries that
+   * contradict the table are deferred: they neither bring back a runner that is gone nor replace a
+   * newer entry.
+   * @param aAway whether the store was unreachable lately, so that entries may have expired.
    * @return ids of runners that are new, or that changed what they are.
    */
   std::vector<service_runner_id> Apply(const runner_listing& aListing, instant aNow, bool aAway);
 
   /**
-   * Applies what another daemon has read. Nothing happens unless this table is between the two
-   * positions of the changes.
+   * Applies changes that another daemon has read. They are ignored unless this table's position is
+   * within the range of the changes.
    * @param aAway as for Apply().
    * @return ids of runners that changed.
    */
@@ -64,31 +67,31 @@
                                               instant aNow,
                                               bool aAway);
 
-  /** Drops runners that are gone and have no work left, and takes in what was left open; call it
-   * each tick. @return ids of runners that changed. */
+  /** Removes runners that are gone and have no work left, and applies deferred entries once their
+   * time is over; to be called at each tick. @return ids of runners that changed. */
   std::vector<service_runner_id> RemoveGone(instant aNow, bool aAway);
 
   runner_state* Find(service_runner_id aId);
   const runner_state* Find(service_runner_id aId) const;
-  /** @return the newest life of a runner, or null. */
+  /** @return the newest incarnation of a runner, or null. */
   runner_state* FindNamed(const std::string& aName);
   const runner_state* FindNamed(const std::string& aName) const;
 
-  /** @return whether the runner may be given new work, by whichever daemon. */
+  /** @return whether the runner may be given new work by any daemon. */
   bool TakesWork(const runner_state& aRunner, instant aNow) const;
-  /** @return whether this daemon may send the runner anything new: it neither leaves nor has told
-   * this daemon that it wants nothing now. */
+  /** @return whether this daemon may send new requests to the runner: it's neither shutting down
+   * nor has it asked this daemon to pause. */
   bool MayReceive(const runner_state& aRunner, instant aNow) const;
-  /** @return runners with an entry that MayReceive() nothing: for whoever chooses for this daemon.
-   */
+  /** @return known runners that this daemon may not send to (see MayReceive()). Whoever places
+   * requests for this daemon has to exclude them. */
   std::vector<service_runner_id> Barred(instant aNow) const;
-  /** @return when the first runner of a service that doesn't leave wants requests again; past if
-   * one does now. @pre HasRunner(). */
+  /** @return when the first runner of a service accepts requests from this daemon again, leaving
+   * out those that shut down; in the past if one accepts them now. @pre HasRunner(). */
   instant AcceptsRequestsFrom(const std::string& aService) const;
 
   /**
-   * Chooses a runner of a plain service: the least loaded of those that do well.
-   * @param aTried runners that this request was sent to.
+   * Chooses a runner of a plain service by its load and its share of failures.
+   * @param aTried runners that this request was already sent to.
    * @param aDraw a number from 0 up to 1 that breaks ties.
    * @return null if none may be given work.
    */
@@ -97,72 +100,75 @@
                        instant aNow,
                        double aDraw);
 
-  /** @return whether the service has a runner that isn't leaving, though it may rest. */
+  /** @return whether the service has a runner that isn't shutting down, even if it's paused or
+   * avoided now. */
   bool HasRunner(const std::string& aService) const;
 
-  /** Notes that an engine took an order to change its role: it gives no new work a place. */
+  /** Records that an engine accepted an order to change its role: it's given no new work. */
   void NoteRoleChange(service_runner_id aId, instant aUntil);
 
-  /** Notes engines that a generation was given: of one that wasn't reached lately this is a trial,
-   * and others are kept off it until the trial's outcome is known. */
+  /** Records that a generation was sent to some engines. For an engine that was unreachable lately
+   * it's a probe: no other request is sent there until the outcome is known. */
   void NoteProbes(const std::vector<service_runner_id>& aEngines, instant aNow);
-  /** Notes that an engine was reached: a trial is over. */
+  /** Records that an engine was reached, which ends a probe. */
   void NoteReached(service_runner_id aId);
 
-  /** Notes that a runner said itself that it leaves. The list may tell it late: the store may be
-   * away for longer than the runner serves on. @return whether that's news. */
+  /** Records that a runner announced its own shutdown. The listing may show it too late: the store
+   * may be unreachable for longer than the runner keeps serving. @return whether it's new. */
   bool NoteLeaves(service_runner_id aId);
-  /** Notes that a runner wants nothing from this daemon before an instant. */
+  /** Records that a runner asked this daemon to send nothing before an instant. */
   void NotePause(service_runner_id aId, instant aUntil);
 
-  /** Notes how a send ended. */
+  /** Records how a send ended. */
   void NoteOutcome(service_runner_id aId, send_outcome aOutcome, instant aNow);
 
   const std::unordered_map<service_runner_id, runner_state>& Rows() const { return mRunners; }
   const store_mark& End() const { return mEnd; }
 
 private:
-  /** The newest life of a runner. */
+  /** The newest incarnation of a runner. */
   struct newest_incarnation
   {
     service_runner_id mId;   ///< Its id.
     std::uint64_t mBorn = 0; ///< When it began, in ms; never goes down.
   };
 
-  /** A life whose row was dropped. */
+  /** An incarnation that was removed from the table. */
   struct ended_incarnation
   {
-    instant mAt{ 0 };   ///< When.
-    bool mLeft = false; ///< It had said that it leaves.
+    instant mAt{ 0 };   ///< When it was removed.
+    bool mLeft = false; ///< It had announced its shutdown.
   };
 
-  /** Notes the position of a read. @return whether the store has gone back since the last one. */
+  /** Records the position of a read. @return whether the store was restored from an older copy
+   * since the last one. */
   bool Advance(const store_mark& aEnd, instant aNow);
-  /** @return whether an entry of an older copy contradicts what is known. */
+  /** @return whether an entry of a restored copy contradicts the table. */
   bool Contradicts(const runner_entry& aEntry) const;
-  /** Takes in an entry, and adds the lives that change by it to @p aChanged. */
+  /** Applies an entry, and adds the incarnations that it changes to @p aChanged. */
   void ApplyEntry(const runner_entry& aEntry,
                   instant aNow,
                   std::vector<service_runner_id>& aChanged);
-  /** Ends the life before @p aEntry of the same runner, if there's one. @return whether @p aEntry
-   * is of a life before the newest one known. */
+  /** Ends the runner's previous incarnation if @p aEntry is of a newer one. @return whether
+   * @p aEntry is outdated: of an incarnation before the newest known. */
   bool EndFormerIncarnation(const runner_entry& aEntry,
                             instant aNow,
                             std::vector<service_runner_id>& aChanged);
-  /** Notes that a runner has no entry. @param aWentBack since the store came back older. */
+  /** Records that a runner has no entry. @param aWentBack the store was rolled back. */
   void MarkUnlisted(runner_state& aRunner, instant aNow, bool aWentBack);
-  /** Marks runners as gone that are missing for longer than a lapse may last. */
+  /** Marks runners as gone that are missing for longer than an expired entry may be. */
   void MarkGone(instant aNow, bool aAway);
 
   std::unordered_map<service_runner_id, runner_state> mRunners; ///< By id.
   std::map<std::string, newest_incarnation>
-    mNewestIncarnations;                     ///< By name; outlives the life's row.
-  std::set<service_runner_id> mSelfReported; ///< Rows that may be barred: those that told anything.
+    mNewestIncarnations; ///< By name; outlives the row in mRunners.
+  std::set<service_runner_id>
+    mSelfReported; ///< Runners that announced a shutdown or pause: candidates for Barred().
   std::map<service_runner_id, ended_incarnation>
-    mEndedIncarnations; ///< Lives whose rows were dropped.
+    mEndedIncarnations; ///< Incarnations that were removed.
   std::vector<runner_entry>
-    mDeferredEntries;         ///< Entries that contradict what is known, until mReconciledAt.
-  instant mReconciledAt{ 0 }; ///< When an older copy has been written up to date.
+    mDeferredEntries;         ///< Entries that contradict the table, until mReconciledAt.
+  instant mReconciledAt{ 0 }; ///< When a restored copy is up to date again.
   store_mark mEnd;            ///< Position of the newest read; never goes down.
 };
 
--- a/src/runners/runner_type.h
+++ b/src/runners/runner_type.h
@@ -1,6 +1,6 @@
 /**
  * @file runner_type.h
- * Runners as the discovery of runners tells of them.
+ * Runners as they are listed by service discovery.
  */
 #pragma once
 
@@ -14,12 +14,12 @@
 namespace dunehook {
 
 struct service_runner_tag;
-/** One life of a runner, by the hash of its name and of the instant at which it was born. What is
- * told, counted or promised by this id concerns that life alone: whatever comes late of a life that
- * has ended finds nothing to change. */
+/** Identifies one incarnation of a runner: a hash of its name and start time. Messages, counters
+ * and reservations under this id apply to that incarnation alone, so a late message about one that
+ * has ended changes nothing. */
 using service_runner_id = strong_id<service_runner_tag>;
 
-/** What an engine is there for now. */
+/** Current role of an engine. */
 enum class engine_role
 {
   eNone,    ///< Not an engine.
@@ -42,20 +42,20 @@
   return "unknown";
 }
 
-/** A runner's entry in the discovery. */
+/** A runner's entry in service discovery. */
 struct runner_entry
 {
-  std::string mName;                            ///< Its id; lives after one another may share it.
-  std::uint64_t mBorn = 0;                      ///< When this life began, in ms; 0 if not told.
-  std::string mService;                         ///< Service it belongs to.
-  endpoint mAddress;                            ///< Where it takes requests.
-  std::string mHall;                            ///< Data hall it stands in.
-  std::uint32_t mSlots = 1;                     ///< Requests it works on at once.
-  bool mLeaving = false;                        ///< It takes no new work.
-  engine_role mRole = engine_role::eNone;       ///< For engines.
-  std::map<std::string, std::uint64_t> mModels; ///< Versions of weights by model.
-
-  /** @return the version of a model's weights; 0 if the runner doesn't tell of the model. */
+  std::string mName;                            ///< Its id; successive incarnations may share it.
+  std::uint64_t mBorn = 0;                      ///< Start of this incarnation in ms; 0 if unknown.
+  std::string mService;                         ///< Service that it belongs to.
+  endpoint mAddress;                            ///< Where it accepts requests.
+  std::string mHall;                            ///< Data hall that it's in.
+  std::uint32_t mSlots = 1;                     ///< Requests that it runs at once.
+  bool mLeaving = false;                        ///< It accepts no new work.
+  engine_role mRole = engine_role::eNone;       ///< Role, if it's an engine.
+  std::map<std::string, std::uint64_t> mModels; ///< Versions of weights, by model.
+
+  /** @return the version of a model's weights; 0 if the entry doesn't list the model. */
   std::uint64_t VersionOf(const std::string& aModel) const
   {
     const auto found = mModels.find(aModel);
@@ -65,59 +65,58 @@
   bool operator==(const runner_entry&) const = default;
 };
 
-/** What a runner says of itself in the head of an answer. */
+/** What a runner reports about itself in the head of an answer. */
 struct runner_notice
 {
-  bool mLeaves = false;           ///< It leaves.
-  duration mWantsNothingFor{ 0 }; ///< It turned a request away, and wants none for so long.
+  bool mLeaves = false;           ///< It's shutting down.
+  duration mWantsNothingFor{ 0 }; ///< It rejected a request, and wants none for this long.
 
   auto operator<=>(const runner_notice&) const = default;
 };
 
-/** How a send to a runner ended, for the choice of the next. */
+/** How a send to a runner ended; used to choose the next runner. */
 enum class send_outcome
 {
-  eServed,      ///< A whole answer that isn't a failure.
-  eFailed,      ///< A failure of the runner's own, or a broken answer.
-  eRefused,     ///< It took no work.
-  eMisdirected, ///< Another runner has its address, or it has another role by now.
-  eUnreachable, ///< No connection, or silence.
-  eAbandoned,   ///< Ended by the caller; says nothing of the runner.
+  eServed,      ///< A complete answer that isn't a failure.
+  eFailed,      ///< An error of the runner, or an incomplete answer.
+  eRefused,     ///< The runner rejected the work.
+  eMisdirected, ///< Another runner has this address, or the role has changed.
+  eUnreachable, ///< No connection, or no answer in time.
+  eAbandoned,   ///< Ended by the caller; no evidence about the runner.
 };
 
 /** @return the outcome's name in records. */
 std::string_view
 OutcomeName(send_outcome aOutcome);
 
-/** A place in a topic of the store. The store may come back from an older copy, in the next era;
- * its offsets are given out again then. So offsets of two eras can't be compared, and whatever is
- * of a later era is newer. */
+/** A position in a topic of the store. If the store is restored from an older copy, a new era
+ * begins and offsets are assigned again. So offsets of different eras can't be compared, and a
+ * position of a later era is always newer. */
 struct store_mark
 {
-  std::uint64_t mEra = 0;    ///< Rises each time the store comes back older; 0 if not told.
+  std::uint64_t mEra = 0;    ///< Rises each time an older copy is restored; 0 if unknown.
   std::uint64_t mOffset = 0; ///< Offset within the era.
 
   auto operator<=>(const store_mark&) const = default;
 };
 
-/** One read of the discovery. */
+/** One read of service discovery. */
 struct runner_listing
 {
-  std::vector<runner_entry> mRunners; ///< All that have an entry.
-  store_mark mEnd;                    ///< Position of the read; an older read has a lower one.
-  bool mUnchanged =
-    false; ///< Nothing changed since the reader's last read; mRunners is left empty.
+  std::vector<runner_entry> mRunners; ///< All runners that have an entry.
+  store_mark mEnd;                    ///< Position of the read; older reads have lower ones.
+  bool mUnchanged = false; ///< Nothing changed since the reader's last read; mRunners is empty.
 };
 
-/** What changed in the list of runners between two positions of the store. Applied to a list that
- * is anywhere between them, it makes the list of the second. */
+/** The changes to the list of runners between two positions of the store. Applied to a list of any
+ * position between them, they produce the list of the second. */
 struct runner_changes
 {
-  store_mark mFrom;                  ///< First position that it may be applied to.
-  store_mark mTo;                    ///< Position of the list that it makes.
-  std::vector<runner_entry> mListed; ///< Entries that changed, or are new.
-  std::vector<std::string> mDropped; ///< Ids of runners that have no entry any more.
-  bool mAway = false; ///< The store was away for the reader lately: entries may have lapsed.
+  store_mark mFrom;                  ///< First position that they may be applied to.
+  store_mark mTo;                    ///< Position of the resulting list.
+  std::vector<runner_entry> mListed; ///< Changed and new entries.
+  std::vector<std::string> mDropped; ///< Ids of runners without an entry now.
+  bool mAway = false; ///< The reader lost the store lately: entries may have expired.
 
   bool operator==(const runner_changes&) const = default;
 };
--- a/src/runners/send_type.h
+++ b/src/runners/send_type.h
@@ -1,6 +1,6 @@
 /**
  * @file send_type.h
- * What forwarding knows of a request and of an answer, decoded from their heads once.
+ * Request and answer metadata, decoded once from the HTTP heads.
  */
 #pragma once
 
@@ -14,17 +14,17 @@
 
 namespace dunehook {
 
-/** What a request's head says. */
+/** Metadata from the head of a request. */
 struct request_facts
 {
-  std::string mId;                   ///< Chosen by the caller; differs with each of its tries.
+  std::string mId;                   ///< Chosen by the caller; differs for each attempt.
   std::optional<duration> mTimeLeft; ///< How long the caller will wait.
-  std::string mModel;                ///< Model wanted; empty if none.
+  std::string mModel;                ///< Requested model; empty if none.
   std::uint32_t mPromptTokens = 0;   ///< Length of the prompt; 0 if unknown.
-  std::uint32_t mMostTokens = 0;     ///< Most tokens of the answer; 0 if unknown.
-  std::uint32_t mGuessedTokens = 0;  ///< The caller's guess of the answer's tokens; 0 if none.
-  std::uint64_t mPromptKey = 0;      ///< Hash of the prompt's own part: alike for all tries.
-  std::optional<std::uint64_t> mLastEvent; ///< The caller has the events up to this one.
+  std::uint32_t mMostTokens = 0;     ///< Limit on the answer's tokens; 0 if unknown.
+  std::uint32_t mGuessedTokens = 0;  ///< The caller's estimate of the answer's tokens; 0 if none.
+  std::uint64_t mPromptKey = 0;      ///< Hash of the prompt's own part; same for all attempts.
+  std::optional<std::uint64_t> mLastEvent; ///< Last event that the caller received.
 
   auto operator<=>(const request_facts&) const = default;
 };
@@ -37,11 +37,11 @@
   auto operator<=>(const reservation&) const = default;
 };
 
-/** Where a prompt's KV cache lies after its prefill. */
+/** Refers to a prompt's KV cache after its prefill. */
 struct prefill_result
 {
   std::string mHandle;        ///< As the runner named it.
-  std::uint64_t mVersion = 0; ///< Version of the weights that read it.
+  std::uint64_t mVersion = 0; ///< Version of the weights that computed it.
 
   auto operator<=>(const prefill_result&) const = default;
 };
@@ -49,31 +49,32 @@
 /** How a request is sent to a runner. */
 struct send_plan
 {
-  std::string mRunnerName;   ///< Its id in the discovery.
-  service_runner_id mRunner; ///< The life that is meant.
-  duration mTimeLeft{ 0 };   ///< Work on it ends then.
+  std::string mRunnerName;   ///< Its id in service discovery.
+  service_runner_id mRunner; ///< The intended incarnation.
+  duration mTimeLeft{ 0 };   ///< Time limit of the work.
   std::uint32_t mRank = 5;   ///< 0 is the most urgent.
-  bool mPrefillOnly = false; ///< The prompt is only read.
+  bool mPrefillOnly = false; ///< Only prefill the prompt.
   std::string mReservation;  ///< Reservation to use; empty if none.
   std::string mPrefillAt;    ///< "address:port/handle" of the prefill; empty if none.
-  std::optional<std::uint64_t> mAfterEvent; ///< Go on after this event.
+  std::optional<std::uint64_t> mAfterEvent; ///< Resume after this event.
 };
 
-/** What the head of a runner's answer says. */
+/** Metadata from the head of a runner's answer. */
 struct answer_facts
 {
   unsigned mStatus = 0;      ///< HTTP status.
-  std::string mRequestId;    ///< The request it belongs to; empty if it doesn't say.
-  bool mMisdirected = false; ///< The runner isn't the one that was meant, or has another role.
-  bool mNotRun = false;      ///< The runner tells that it did not run the request.
+  std::string mRequestId;    ///< Request that it answers; empty if not given.
+  bool mMisdirected = false; ///< The runner isn't the intended one, or has another role.
+  bool mNotRun = false;      ///< The runner states that it did not run the request.
   bool mHasReceipt = false;  ///< It carries the runner's receipt.
-  duration mKeepFor{ 0 };    ///< How long the runner keeps an idle connection; 0 if not told.
-  runner_notice mNotice;     ///< What the runner says of itself.
+  duration mKeepFor{ 0 };    ///< How long the runner keeps an idle connection; 0 if unknown.
+  runner_notice mNotice;     ///< What the runner reports about itself.
 
   auto operator<=>(const answer_facts&) const = default;
 };
 
-/** @return the id of the life of the runner @p aName that was born at @p aBorn; 0 if not told. */
+/** @return the id of the incarnation of runner @p aName that started at @p aBorn.
+ * @param aBorn start time in ms; 0 if unknown. */
 inline service_runner_id
 RunnerIdOf(std::string_view aName, std::uint64_t aBorn = 0)
 {
--- a/src/runners/upstream_connection.cpp
+++ b/src/runners/upstream_connection.cpp
@@ -14,20 +14,21 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 8192;
-/** Unacknowledged bytes end a connection after this; peers that are gone say nothing. */
+/** A connection with unacknowledged bytes is closed after this: a peer that is gone sends nothing.
+ */
 constexpr int kUnacknowledgedTimeoutMs = 900;
-/** An idle or waiting connection is probed after this many seconds, and each second after. */
+/** A connection without traffic is probed after this many seconds, and then each second. */
 constexpr int kProbeAfterSeconds = 1;
-/** How long a connection may rest if the runner doesn't say. */
+/** How long a connection may stay idle if the runner doesn't state it. */
 constexpr duration kDefaultKeepAlive = std::chrono::milliseconds(1500);
-/** A kept connection counts as proven this long after its last answer. */
+/** An idle connection is assumed to be alive for this long after its last answer. */
 constexpr duration kProvenAge = std::chrono::milliseconds(400);
-/** Most connections to one runner that rest, however many it takes: peaks are short. */
+/** Limit on idle connections to one runner, however many it accepts: load peaks are short. */
 constexpr std::size_t kMaxIdle = 8;
-/** Taken off the time that a runner keeps idle connections, for clocks and the way. */
+/** Subtracted from the time that a runner keeps idle connections, for clock and network delays. */
 constexpr duration kKeepAliveMargin = std::chrono::milliseconds(700);
 
-/** Makes the kernel end a connection whose peer is silent. Failure leaves the defaults in place. */
+/** Makes the kernel close a connection whose peer is silent. On failure the defaults remain. */
 void
 EnableDeadPeerDetection(tcp::socket& aSocket)
 {
@@ -143,7 +144,7 @@
     upstream_ptr connection = idle.back();
     const duration idleTime = aNow - connection->mIdleSince;
     if (aOnlyProven && idleTime > kProvenAge) {
-      break; // Older ones lie before it; others may still use them.
+      break; // The rest are older still; requests that can be repeated may use them.
     }
     idle.pop_back();
     if (idleTime < connection->mKeepFor && !connection->Stale()) {
--- a/src/runners/upstream_connection.h
+++ b/src/runners/upstream_connection.h
@@ -1,8 +1,8 @@
 /**
  * @file upstream_connection.h
- * A connection to a runner that passes a request and its answer through. It never gives bytes that
- * belong to one answer to another request: a connection is used again only after a whole answer
- * with nothing behind it, whose request was taken in full.
+ * A connection that passes a request to a runner and its answer back. To never mix up bytes of two
+ * answers, a connection is reused only if the request was sent in full, and its answer was complete
+ * with no bytes after it.
  */
 #pragma once
 
@@ -10,15 +10,15 @@
 
 namespace dunehook {
 
-/** A request as it's sent to a runner: a head that is ready, and the caller's body. */
+/** A request as it's sent to a runner: the encoded head, and the caller's body. */
 struct upstream_request
 {
-  http::verb mMethod = http::verb::get;     ///< Method.
-  std::string mHead;                        ///< Request line and fields, with the empty line.
-  std::shared_ptr<const std::string> mBody; ///< The caller's body; may be shared by repeats.
+  http::verb mMethod = http::verb::get; ///< Method.
+  std::string mHead;                    ///< Request line and header fields, with the empty line.
+  std::shared_ptr<const std::string> mBody; ///< The caller's body; shared by retries.
 };
 
-/** The connection. Abort() may be called at any time, also while an operation waits. */
+/** A connection to a runner. Abort() may be called at any time, even during an operation. */
 class upstream_connection : public std::enable_shared_from_this<upstream_connection>
 {
 public:
@@ -35,10 +35,10 @@
   }
 
   /**
-   * Sends a request and reads the head of the answer. The body may still be on its way when the
-   * answer comes.
+   * Sends a request and reads the head of the answer. The body may still be being sent when the
+   * answer arrives.
    * @return the answer's head, eConnectionLost or eDeadlinePassed.
-   * @pre no answer is under way.
+   * @pre no answer is being read.
    */
   asio::awaitable<result<const response_parser::value_type*>> Start(
     const upstream_request& aRequest,
@@ -47,38 +47,38 @@
   /**
    * Reads some of the answer's body.
    * @param aOut text that the bytes are appended to.
-   * @return whether the body goes on; eConnectionLost if the answer was cut.
+   * @return whether the body continues; eConnectionLost if the answer was cut off.
    * @pre Start() succeeded.
    */
   asio::awaitable<result<bool>> ReadSome(std::string& aOut, duration aLimit);
 
-  /** Ends the connection at once; a waiting operation fails. */
+  /** Closes the connection at once; a pending operation fails. */
   void Abort();
 
   /** @return whether the connection can carry another request. */
   bool Reusable() const;
-  /** @return whether the runner has closed the idle connection or sent unasked bytes. */
+  /** @return whether the runner has closed the idle connection or sent unexpected bytes. */
   bool Stale();
-  /** @return the length of the answer's body, if the runner told it. */
+  /** @return the length of the answer's body, if the runner stated it. */
   std::optional<std::uint64_t> BodyLength() const;
 
-  instant mIdleSince{ 0 }; ///< For the pool: when it was given back.
-  duration mKeepFor{ 0 };  ///< For the pool: how long it may rest.
+  instant mIdleSince{ 0 }; ///< For the pool: when it was returned.
+  duration mKeepFor{ 0 };  ///< For the pool: how long it may stay idle.
 
 private:
-  /** The write of a request; shared with the operation, which may outlive the connection. */
+  /** The write of a request; shared with the asynchronous write, which may outlive Start(). */
   struct write_state
   {
     std::string mHead;                        ///< Owns the bytes on their way.
     std::shared_ptr<const std::string> mBody; ///< Owns the bytes on their way.
-    bool mDone = false;                       ///< All bytes were taken.
+    bool mDone = false;                       ///< All bytes were written.
   };
 
   beast::tcp_stream mStream;              ///< The socket.
-  stream_limit mLimit;                    ///< Time for what is under way.
-  beast::flat_buffer mBuffer;             ///< Bytes read and not parsed yet.
-  std::optional<response_parser> mParser; ///< The answer under way.
-  std::shared_ptr<write_state> mWrite;    ///< The request under way.
+  stream_limit mLimit;                    ///< Time limit of the current operation.
+  beast::flat_buffer mBuffer;             ///< Bytes read but not parsed yet.
+  std::optional<response_parser> mParser; ///< Parser of the current answer.
+  std::shared_ptr<write_state> mWrite;    ///< The current request.
   bool mAnswerComplete = false;           ///< The last answer was read to its end.
   bool mAborted = false;                  ///< Abort() was called.
 };
@@ -86,38 +86,38 @@
 using upstream_ptr = std::shared_ptr<upstream_connection>;
 
 /**
- * @param aTaken connections that one runner takes from all daemons together.
+ * @param aTaken connections that one runner accepts from all daemons together.
  * @param aDaemons daemons that share them; at least 1.
- * @return connections to one runner that a daemon keeps while they rest. Half of its part: requests
- *   under way need the rest, and a runner resets what is over its limit.
+ * @return how many idle connections to one runner a daemon keeps: half of its part. Requests in
+ *   progress need the other half, and a runner resets connections over its limit.
  */
 std::size_t
 MaxIdleConnections(std::uint32_t aTaken, std::size_t aDaemons);
 
-/** Kept connections to runners. */
+/** Pool of idle connections to runners. */
 class upstream_pool
 {
 public:
   /**
-   * @param aOnlyProven take a kept connection only if it was in use a moment ago: for requests that
-   *   can't be sent again if it turns out to be closed.
-   * @return a kept or fresh connection.
+   * @param aOnlyProven reuse a connection only if it was in use within kProvenAge: for requests
+   * that can't be sent again if the connection turns out to be closed.
+   * @return a pooled or new connection.
    */
   asio::awaitable<result<upstream_ptr>> Take(const endpoint& aTo,
                                              bool aOnlyProven,
                                              instant aNow,
                                              duration aLimit);
-  /** Keeps a connection for later if it can carry another request, else ends it. */
+  /** Returns a connection to the pool, or closes it if it can't be reused. */
   void Give(const endpoint& aTo, const upstream_ptr& aConnection, instant aNow);
-  /** Ends the resting connections to @p aTo: what listened there has gone. */
+  /** Closes the idle connections to @p aTo: the runner there is gone. */
   void Drop(const endpoint& aTo);
-  /** Ends connections that have rested for too long. */
+  /** Closes connections that were idle for too long. */
   void Prune(instant aNow);
-  /** @param aMost kept connections for one runner. */
+  /** @param aMost limit on idle connections to one runner. */
   void SetMaxIdle(std::size_t aMost) { mMaxIdle = aMost; }
 
 private:
-  std::size_t mMaxIdle = 8;                                     ///< For one runner.
+  std::size_t mMaxIdle = 8;                                     ///< Limit for each runner.
   std::unordered_map<endpoint, std::deque<upstream_ptr>> mIdle; ///< Newest at the back.
 };
 
--- a/tests/unit/runner_test.cpp
+++ b/tests/unit/runner_test.cpp
@@ -1,7 +1,8 @@
 /**
  * @file runner_test.cpp
- * Token streams: torn reads are put together, and another attempt's tokens are refused. Keys,
- * attempts and completions calls are read as documented.
+ * Tests the parser of token streams, which has to join partial reads and to refuse tokens of
+ * another attempt, and the parsing of attempt ids, completion calls, prompt prefixes and team
+ * quotas.
  */
 #include "callers/completion_type.h"
 #include "callers/quota_base.h"
