--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 std::string
-HostKey(std::string_view aHost)
+NormalizeHost(std::string_view aHost)
 {
   const std::string_view bare = aHost.substr(0, aHost.find(':'));
   return absl::AsciiStrToLower(absl::string_view(bare.data(), bare.size()));
@@ -25,7 +25,7 @@
   : mConfig(std::move(aConfig))
 {
   for (const forward_route& route : mConfig.mRoutes) {
-    mByHost[HostKey(route.mHost)].push_back(&route);
+    mByHost[NormalizeHost(route.mHost)].push_back(&route);
   }
   for (auto& [host, routes] : mByHost) {
     std::stable_sort(routes.begin(), routes.end(), [](const auto* aLeft, const auto* aRight) {
@@ -37,7 +37,7 @@
 const forward_route*
 route_table::Find(std::string_view aHost, std::string_view aPath) const
 {
-  const auto routes = mByHost.find(HostKey(aHost));
+  const auto routes = mByHost.find(NormalizeHost(aHost));
   if (routes == mByHost.end()) {
     return nullptr;
   }
@@ -53,18 +53,18 @@
 route_table::PickService(const forward_route& aRoute, double aDraw) const
 {
   double total = 0.0;
-  for (const weighted_service& one : aRoute.mServices) {
-    total += one.mWeight;
+  for (const weighted_service& candidate : aRoute.mServices) {
+    total += candidate.mWeight;
   }
-  double left = aDraw * total;
+  double remaining = aDraw * total;
   const weighted_service* picked = nullptr;
-  for (const weighted_service& one : aRoute.mServices) {
-    if (one.mWeight <= 0.0 && aRoute.mServices.size() > 1) {
+  for (const weighted_service& candidate : aRoute.mServices) {
+    if (candidate.mWeight <= 0.0 && aRoute.mServices.size() > 1) {
       continue;
     }
-    picked = &one;
-    left -= one.mWeight;
-    if (left < 0.0) {
+    picked = &candidate;
+    remaining -= candidate.mWeight;
+    if (remaining < 0.0) {
       break;
     }
   }
