--- a/src/routing/config_type.h
+++ b/src/routing/config_type.h
@@ -1,7 +1,7 @@
 /**
  * @file config_type.h
- * The routing configuration that forwarding follows: routes, services and limits of callers, as
- * immutable values. Where they come from is the business of a configuration source.
+ * The routing configuration: routes, services and limits for callers, as immutable values. A
+ * configuration source provides them.
  */
 #pragma once
 
@@ -15,33 +15,33 @@
 
 namespace dunehook {
 
-/** How often a route's requests may run. */
+/** How often a request of a route may be run. */
 enum class repeat_rule
 {
   eRepeatable, ///< Any number of times.
   eOnce,       ///< At most once for each request id.
-  eStream,     ///< Answered by events; repeatable only from the last event on, if resumable.
+  eStream,     ///< Answered by events; only resumable streams are repeated, after the last event.
 };
 
-/** A service and its part of a route's requests. */
+/** A service and its share of a route's requests. */
 struct weighted_service
 {
   std::string mService; ///< Name of the service.
-  double mWeight = 1.0; ///< Part in proportion to the other weights; not negative.
+  double mWeight = 1.0; ///< Share relative to the other weights; not negative.
 
   auto operator<=>(const weighted_service&) const = default;
 };
 
-/** A route: which requests go to which services, and within what limits. */
+/** A route maps requests to services, with time limits and retry rules. */
 struct forward_route
 {
-  std::string mName;                               ///< Name, for records.
-  std::string mHost;                               ///< Host that callers name.
+  std::string mName;                               ///< Name in logs and metrics.
+  std::string mHost;                               ///< Host header to match.
   std::string mPathPrefix;                         ///< Begins and ends with a slash.
-  repeat_rule mRepeat = repeat_rule::eOnce;        ///< How often a request may run.
-  bool mResumable = false;                         ///< Streams may go on at another runner.
+  repeat_rule mRepeat = repeat_rule::eOnce;        ///< How often a request may be run.
+  bool mResumable = false;                         ///< Streams may be resumed on another runner.
   duration mTimeout = std::chrono::seconds(30);    ///< Longest time a request may be held.
-  duration mFirstAnswer = std::chrono::seconds(1); ///< Latency target: first event, or answer.
+  duration mFirstAnswer = std::chrono::seconds(1); ///< Latency target of the first event or answer.
   duration mEventGap = std::chrono::seconds(1);    ///< Target: longest pause between events.
   std::uint32_t mRank = 5;                         ///< 0 is the most urgent.
   std::uint32_t mMaxRunners = 1;                   ///< Runners that one request may be sent to.
@@ -50,15 +50,15 @@
   auto operator<=>(const forward_route&) const = default;
 };
 
-/** What all engines of a service have in common. */
+/** Properties that all engines of a service share. */
 struct engine_traits
 {
   std::uint32_t mSlots = 0;                                  ///< Requests that run at once.
   std::uint64_t mMemoryTokens = 0;                           ///< KV cache, in tokens.
-  std::uint32_t mTokensPerEvent = 1;                         ///< Tokens that one event may hold.
-  duration mResultLifetime = std::chrono::milliseconds(500); ///< Life of a prefill result.
-  duration mRoleSwitch = std::chrono::seconds(6);            ///< Time out of work for a new role.
-  duration mLongestHold = std::chrono::seconds(2);           ///< Longest life of a reservation.
+  std::uint32_t mTokensPerEvent = 1;                         ///< Most tokens in one event.
+  duration mResultLifetime = std::chrono::milliseconds(500); ///< Lifetime of a prefill result.
+  duration mRoleSwitch = std::chrono::seconds(6);            ///< Downtime of a role change.
+  duration mLongestHold = std::chrono::seconds(2);           ///< Longest lifetime of a reservation.
 
   auto operator<=>(const engine_traits&) const = default;
 };
@@ -67,19 +67,19 @@
 struct forward_service
 {
   std::string mName;                     ///< Name.
-  std::uint32_t mMaxConnections = 100;   ///< Connections that one runner takes from everybody.
+  std::uint32_t mMaxConnections = 100;   ///< Connections that one runner accepts in all.
   std::optional<engine_traits> mEngines; ///< Set where its runners are model engines.
 
   auto operator<=>(const forward_service&) const = default;
 };
 
-/** What callers may send and how long they may take. */
+/** Limits on the size and timing of callers' requests. */
 struct caller_limits
 {
   std::uint32_t mHeaderBytes = 16384;                     ///< Largest request head.
   std::uint64_t mBodyBytes = std::uint64_t{ 4 } << 20U;   ///< Largest request body.
-  duration mHeaderTime = std::chrono::milliseconds(3000); ///< Longest read of a head.
-  duration mIdleTime = std::chrono::milliseconds(15000);  ///< Longest rest between requests.
+  duration mHeaderTime = std::chrono::milliseconds(3000); ///< Time limit for reading a head.
+  duration mIdleTime = std::chrono::milliseconds(15000);  ///< Longest idle time between requests.
 
   auto operator<=>(const caller_limits&) const = default;
 };
@@ -87,7 +87,7 @@
 /** One version of the configuration. */
 struct routing_config
 {
-  std::uint64_t mVersion = 0;                       ///< Rises with every change.
+  std::uint64_t mVersion = 0;                       ///< Increases with every change.
   std::vector<forward_route> mRoutes;               ///< In no order.
   std::map<std::string, forward_service> mServices; ///< By name.
   caller_limits mLimits;                            ///< For all callers.
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -1,6 +1,6 @@
 /**
  * @file route_table.cpp
- * Matching of routes.
+ * Matches requests to routes, and chooses a service by weight.
  */
 #include "routing/route_table.h"
 
--- a/src/routing/route_table.h
+++ b/src/routing/route_table.h
@@ -1,6 +1,6 @@
 /**
  * @file route_table.h
- * Finds the route of a request, and the service that takes it.
+ * Finds the route of a request, and chooses the service that handles it.
  */
 #pragma once
 
@@ -22,15 +22,15 @@
   explicit route_table(routing_config aConfig);
 
   /**
-   * @param aHost host as the caller named it; a port behind it doesn't count, nor does case.
+   * @param aHost value of the Host header; its port and its case are ignored.
    * @param aPath path without its query.
    * @return the route with the longest prefix of the path, or null.
    */
   const forward_route* Find(std::string_view aHost, std::string_view aPath) const;
 
   /**
-   * @param aDraw a number from 0 up to 1 that picks among services by weight.
-   * @return the service, or null where the configuration doesn't hold it.
+   * @param aDraw a random number from 0 up to 1 that chooses among services by weight.
+   * @return the service, or null if the configuration doesn't contain it.
    * @pre @p aRoute is one of this table.
    */
   const forward_service* PickService(const forward_route& aRoute, double aDraw) const;
@@ -38,7 +38,7 @@
   const routing_config& Config() const { return mConfig; }
 
 private:
-  routing_config mConfig; ///< The routes' owner.
+  routing_config mConfig;                                                     ///< Owns the routes.
   std::unordered_map<std::string, std::vector<const forward_route*>> mByHost; ///< Longest first.
 };
 
