--- a/src/messages/place_message.cpp
+++ b/src/messages/place_message.cpp
@@ -13,18 +13,18 @@
 
 using nlohmann::json;
 
-constexpr int kQuestion = 1;
-constexpr int kReply = 2;
+constexpr int kQuestionKind = 1;
+constexpr int kReplyKind = 2;
 
 std::string
-Pack(const json& aBody)
+ToCbor(const json& aBody)
 {
   const std::vector<std::uint8_t> bytes = json::to_cbor(aBody);
   return { bytes.begin(), bytes.end() };
 }
 
 place_question
-QuestionFrom(const json& aBody)
+DecodeQuestion(const json& aBody)
 {
   place_question question;
   generation_demand& demand = question.mDemand;
@@ -50,7 +50,7 @@
 }
 
 place_reply
-ReplyFrom(const json& aBody)
+DecodeReply(const json& aBody)
 {
   place_reply reply;
   reply.mRun = { aBody.at(1).get<std::uint64_t>() };
@@ -77,44 +77,44 @@
 Encode(const place_question& aQuestion)
 {
   const generation_demand& demand = aQuestion.mDemand;
-  return Pack(json::array({ kQuestion,
-                            aQuestion.mDaemon,
-                            aQuestion.mRound,
-                            demand.mRun.mValue,
-                            demand.mService,
-                            demand.mModel,
-                            demand.mHall,
-                            demand.mPromptTokens,
-                            demand.mAnswerTokens,
-                            demand.mMostTokens,
-                            IdsOf(demand.mFailed),
-                            demand.mReturned,
-                            demand.mEventGap.count(),
-                            demand.mFirstEventWithin.count(),
-                            aQuestion.mPromptKey,
-                            aQuestion.mRank,
-                            aQuestion.mWait.mNew.count(),
-                            aQuestion.mWait.mReturned.count(),
-                            IdsOf(demand.mBarred) }));
+  return ToCbor(json::array({ kQuestionKind,
+                              aQuestion.mDaemon,
+                              aQuestion.mRound,
+                              demand.mRun.mValue,
+                              demand.mService,
+                              demand.mModel,
+                              demand.mHall,
+                              demand.mPromptTokens,
+                              demand.mAnswerTokens,
+                              demand.mMostTokens,
+                              IdsOf(demand.mFailed),
+                              demand.mReturned,
+                              demand.mEventGap.count(),
+                              demand.mFirstEventWithin.count(),
+                              aQuestion.mPromptKey,
+                              aQuestion.mRank,
+                              aQuestion.mWait.mNew.count(),
+                              aQuestion.mWait.mReturned.count(),
+                              IdsOf(demand.mBarred) }));
 }
 
 std::string
 Encode(const place_reply& aReply)
 {
   const placement_choice& choice = aReply.mChoice;
-  return Pack(json::array({ kReply,
-                            aReply.mRun.mValue,
-                            aReply.mRound,
-                            static_cast<int>(aReply.mState),
-                            choice.mDecode.mValue,
-                            choice.mPrefill ? choice.mPrefill->mValue : 0,
-                            choice.mUntilRead.count(),
-                            choice.mUntilEvent.count(),
-                            choice.mPeakShare,
-                            static_cast<int>(aReply.mReason),
-                            aReply.mFreeIn.count(),
-                            aReply.mReturned,
-                            aReply.mWaitsFor.count() }));
+  return ToCbor(json::array({ kReplyKind,
+                              aReply.mRun.mValue,
+                              aReply.mRound,
+                              static_cast<int>(aReply.mState),
+                              choice.mDecode.mValue,
+                              choice.mPrefill ? choice.mPrefill->mValue : 0,
+                              choice.mUntilRead.count(),
+                              choice.mUntilEvent.count(),
+                              choice.mPeakShare,
+                              static_cast<int>(aReply.mReason),
+                              aReply.mFreeIn.count(),
+                              aReply.mReturned,
+                              aReply.mWaitsFor.count() }));
 }
 
 placing_message
@@ -123,11 +123,11 @@
   try {
     const json body = json::from_cbor(aData.begin(), aData.end());
     const int kind = body.at(0).get<int>();
-    if (kind == kQuestion) {
-      return QuestionFrom(body);
+    if (kind == kQuestionKind) {
+      return DecodeQuestion(body);
     }
-    if (kind == kReply) {
-      return ReplyFrom(body);
+    if (kind == kReplyKind) {
+      return DecodeReply(body);
     }
   } catch (const json::exception&) {
     return {}; // A stray datagram: the asker asks another daemon, or decides itself.
--- a/src/messages/run_message.cpp
+++ b/src/messages/run_message.cpp
@@ -16,13 +16,13 @@
 using nlohmann::json;
 
 /** Place of the quarantine in a message. */
-constexpr std::size_t kQuarantineItem = 14;
+constexpr std::size_t kQuarantineIndex = 14;
 
 /** Most runs taken from one datagram; more than one sender can have in its size. */
-constexpr std::size_t kMostRuns = 2000;
+constexpr std::size_t kMaxRuns = 2000;
 
 run_record
-RunOf(const json& aItem, std::uint64_t aDaemon, instant aNow)
+DecodeRun(const json& aItem, std::uint64_t aDaemon, instant aNow)
 {
   run_record run;
   run.mRun = { aItem.at(0).get<std::uint64_t>() };
@@ -38,7 +38,7 @@
 }
 
 json
-EntryOf(const runner_entry& aEntry)
+EncodeEntry(const runner_entry& aEntry)
 {
   return json::array({ aEntry.mName,
                        aEntry.mService,
@@ -53,7 +53,7 @@
 }
 
 runner_entry
-EntryFrom(const json& aItem)
+DecodeEntry(const json& aItem)
 {
   runner_entry entry;
   entry.mName = aItem.at(0).get<std::string>();
@@ -70,39 +70,39 @@
 }
 
 json
-MarkOf(const store_mark& aMark)
+EncodePosition(const store_mark& aMark)
 {
   return json::array({ aMark.mEra, aMark.mOffset });
 }
 
 store_mark
-MarkFrom(const json& aItem)
+DecodePosition(const json& aItem)
 {
   return { aItem.at(0).get<std::uint64_t>(), aItem.at(1).get<std::uint64_t>() };
 }
 
 json
-ChangesOf(const runner_changes& aChanges)
+EncodeChanges(const runner_changes& aChanges)
 {
   json listed = json::array();
   for (const runner_entry& entry : aChanges.mListed) {
-    listed.push_back(EntryOf(entry));
+    listed.push_back(EncodeEntry(entry));
   }
-  return json::array({ MarkOf(aChanges.mFrom),
-                       MarkOf(aChanges.mTo),
+  return json::array({ EncodePosition(aChanges.mFrom),
+                       EncodePosition(aChanges.mTo),
                        std::move(listed),
                        aChanges.mDropped,
                        aChanges.mAway });
 }
 
 runner_changes
-ChangesFrom(const json& aItem)
+DecodeChanges(const json& aItem)
 {
   runner_changes changes;
-  changes.mFrom = MarkFrom(aItem.at(0));
-  changes.mTo = MarkFrom(aItem.at(1));
+  changes.mFrom = DecodePosition(aItem.at(0));
+  changes.mTo = DecodePosition(aItem.at(1));
   for (const json& entry : aItem.at(2)) {
-    changes.mListed.push_back(EntryFrom(entry));
+    changes.mListed.push_back(DecodeEntry(entry));
   }
   changes.mDropped = aItem.at(3).get<std::vector<std::string>>();
   changes.mAway = aItem.at(4).get<bool>();
@@ -110,7 +110,7 @@
 }
 
 json
-FinishedOf(const run_message& aMessage)
+EncodeFinished(const run_message& aMessage)
 {
   json items = json::array();
   for (const finished_run& run : aMessage.mFinished) {
@@ -121,7 +121,7 @@
 }
 
 json
-ReadsOf(const run_message& aMessage)
+EncodeReads(const run_message& aMessage)
 {
   json items = json::array();
   for (const finished_read& read : aMessage.mReads) {
@@ -131,7 +131,7 @@
 }
 
 json
-OutcomesOf(const run_message& aMessage)
+EncodeOutcomes(const run_message& aMessage)
 {
   json items = json::array();
   for (const engine_report& report : aMessage.mOutcomes) {
@@ -141,7 +141,7 @@
 }
 
 void
-TakeReports(const json& aBody, run_message& aMessage)
+DecodeReports(const json& aBody, run_message& aMessage)
 {
   for (const json& item : aBody.at(9)) {
     aMessage.mFinished.push_back({ { item.at(0).get<std::uint64_t>() },
@@ -162,7 +162,7 @@
 }
 
 json
-QuarantineOf(const quarantine_message& aMessage)
+EncodeQuarantine(const quarantine_message& aMessage)
 {
   json crashes = json::array();
   for (const crash_report& report : aMessage.mCrashes) {
@@ -177,17 +177,17 @@
     notices.push_back(
       { notice.mRequest.mValue, static_cast<int>(notice.mStatus), notice.mAge.count() });
   }
-  const json asks = aMessage.mSenderDigest ? json(*aMessage.mSenderDigest) : json();
+  const json senderDigest = aMessage.mSenderDigest ? json(*aMessage.mSenderDigest) : json();
   return json::array({ std::move(crashes),
                        std::move(served),
                        std::move(notices),
-                       asks,
+                       senderDigest,
                        aMessage.mAlwaysAnswer,
                        aMessage.mSynchronized });
 }
 
 quarantine_notice
-NoticeFrom(const json& aItem)
+DecodeNotice(const json& aItem)
 {
   const bool quarantined =
     aItem.at(1).get<int>() == static_cast<int>(quarantine_status::eQuarantined);
@@ -197,7 +197,7 @@
 }
 
 quarantine_message
-QuarantineFrom(const json& aItem)
+DecodeQuarantine(const json& aItem)
 {
   quarantine_message message;
   for (const json& crash : aItem.at(0)) {
@@ -209,7 +209,7 @@
     message.mServed.push_back({ served.get<std::uint64_t>() });
   }
   for (const json& notice : aItem.at(2)) {
-    message.mNotices.push_back(NoticeFrom(notice));
+    message.mNotices.push_back(DecodeNotice(notice));
   }
   if (!aItem.at(3).is_null()) {
     message.mSenderDigest = aItem.at(3).get<std::uint64_t>();
@@ -246,15 +246,15 @@
   json ordered = IdsOf(aMessage.mOrdered);
   json store;
   if (aMessage.mStore) {
-    store = json::array({ MarkOf(aMessage.mStore->mRunners), aMessage.mStore->mConfig });
+    store = json::array({ EncodePosition(aMessage.mStore->mRunners), aMessage.mStore->mConfig });
   }
   json changes;
   if (aMessage.mRunners) {
-    changes = ChangesOf(*aMessage.mRunners);
+    changes = EncodeChanges(*aMessage.mRunners);
   }
   json quarantine;
   if (aMessage.mQuarantine) {
-    quarantine = QuarantineOf(*aMessage.mQuarantine);
+    quarantine = EncodeQuarantine(*aMessage.mQuarantine);
   }
   const std::vector<std::uint8_t> bytes = json::to_cbor(json::array({ aMessage.mDaemon,
                                                                       aMessage.mDigest,
@@ -265,9 +265,9 @@
                                                                       std::move(store),
                                                                       std::move(changes),
                                                                       aMessage.mStoreSilent,
-                                                                      FinishedOf(aMessage),
-                                                                      ReadsOf(aMessage),
-                                                                      OutcomesOf(aMessage),
+                                                                      EncodeFinished(aMessage),
+                                                                      EncodeReads(aMessage),
+                                                                      EncodeOutcomes(aMessage),
                                                                       IdsOf(aMessage.mFull),
                                                                       IdsOf(aMessage.mLeaving),
                                                                       std::move(quarantine) }));
@@ -283,8 +283,8 @@
     message.mDaemon = body.at(0).get<std::uint64_t>();
     message.mDigest = body.at(1).get<bool>();
     for (const json& item : body.at(2)) {
-      if (message.mBegun.size() < kMostRuns) {
-        message.mBegun.push_back(RunOf(item, message.mDaemon, aNow));
+      if (message.mBegun.size() < kMaxRuns) {
+        message.mBegun.push_back(DecodeRun(item, message.mDaemon, aNow));
       }
     }
     for (const json& item : body.at(3)) {
@@ -298,19 +298,20 @@
     }
     const json& store = body.at(6);
     if (!store.is_null()) {
-      message.mStore = { MarkFrom(store.at(0)), store.at(1).get<std::uint64_t>() };
+      message.mStore = { DecodePosition(store.at(0)), store.at(1).get<std::uint64_t>() };
     }
     const json& changes = body.at(7);
     if (!changes.is_null()) {
-      message.mRunners = ChangesFrom(changes);
+      message.mRunners = DecodeChanges(changes);
     }
     message.mStoreSilent = body.at(8).get<bool>();
-    TakeReports(body, message);
+    DecodeReports(body, message);
     message.mFull = IdsFrom(body.at(12));
     message.mLeaving = IdsFrom(body.at(13));
-    const bool tells = body.size() > kQuarantineItem && !body.at(kQuarantineItem).is_null();
-    if (tells) { // Daemons of the version before it don't have the item.
-      message.mQuarantine = QuarantineFrom(body.at(kQuarantineItem));
+    const bool hasQuarantine =
+      body.size() > kQuarantineIndex && !body.at(kQuarantineIndex).is_null();
+    if (hasQuarantine) { // Daemons of the version before it don't have the item.
+      message.mQuarantine = DecodeQuarantine(body.at(kQuarantineIndex));
     }
     return message.mDaemon == 0 ? std::nullopt : std::optional<run_message>(message);
   } catch (const json::exception&) {
--- a/tests/unit/message_test.cpp
+++ b/tests/unit/message_test.cpp
@@ -17,7 +17,7 @@
 
 TEST_GROUP(messages){};
 
-TEST(messages, EveryEventReadsBackAsItWasWritten)
+TEST(messages, EveryEventIsDecodedAsItWasEncoded)
 {
   const request_arrived arrived{ kAttempt, "practice", {}, 200, 60, { { 7, 256 }, { 9, 512 } } };
   const std::vector<decide_event> events{
@@ -34,7 +34,7 @@
   }
 }
 
-TEST(messages, EveryOrderReadsBackAsItWasWritten)
+TEST(messages, EveryOrderIsDecodedAsItWasEncoded)
 {
   const std::vector<decide_order> orders{
     start_prefill{ kAttempt, { 5 }, 1 },
@@ -50,7 +50,7 @@
   }
 }
 
-TEST(messages, BrokenMessagesAreRefused)
+TEST(messages, InvalidMessagesAreRefused)
 {
   CHECK_FALSE(EventFromJson(nlohmann::json::parse(R"({"type":"arrived"})")).has_value());
   CHECK_FALSE(EventFromJson(nlohmann::json::array()).has_value());
@@ -58,7 +58,7 @@
     OrderFromJson(nlohmann::json::parse(R"({"type":"prefill","attempt":"x"})")).has_value());
 }
 
-TEST(messages, TheDispatcherAnswersCallsAndRefusesBrokenOnes)
+TEST(messages, TheDispatcherAnswersValidCallsAndReportsInvalidOnes)
 {
   rpc_dispatcher dispatcher;
   dispatcher.Add("echo", [](const std::string& aMessage) { return aMessage; });
