--- a/src/messages/place_message.cpp
+++ b/src/messages/place_message.cpp
@@ -1,7 +1,7 @@
 /**
  * @file place_message.cpp
- * Questions for a place and their answers as CBOR arrays; the first item tells which it is. Spans
- * are in microseconds.
+ * Encodes placement questions and answers as CBOR arrays. The first item is the kind; durations are
+ * in microseconds.
  */
 #include "messages/place_message.h"
 
@@ -130,7 +130,7 @@
       return DecodeReply(body);
     }
   } catch (const json::exception&) {
-    return {}; // A stray datagram: the asker asks another daemon, or decides itself.
+    return {}; // Invalid datagram: the sender asks another daemon, or decides itself.
   }
   return {};
 }
--- a/src/messages/place_message.h
+++ b/src/messages/place_message.h
@@ -1,6 +1,6 @@
 /**
  * @file place_message.h
- * Datagrams of questions for a place and of their answers.
+ * Encodes and decodes datagrams that request a placement and that answer such a request.
  */
 #pragma once
 
@@ -20,10 +20,10 @@
 std::string
 Encode(const place_reply& aReply);
 
-/** Nothing, where a datagram can't be read. */
+/** A decoded datagram; std::monostate if it's invalid. */
 using placing_message = std::variant<std::monostate, place_question, place_reply>;
 
-/** @return the question or the answer in a datagram. */
+/** @return the question or the answer in a datagram, or std::monostate. */
 placing_message
 DecodePlacing(std::string_view aData);
 
--- a/src/messages/run_message.cpp
+++ b/src/messages/run_message.cpp
@@ -1,9 +1,8 @@
 /**
  * @file run_message.cpp
- * Run messages as CBOR: [sender, digest, [[run, decode, prefill, prompt, answer, most, made,
- * age]...],
- * [ended...], [ordered...], [refused...], store, runner changes, whether the store is silent,
- * [finished...], [reads...], [outcomes...], [full...], [leaving...], quarantine].
+ * Encodes run messages as CBOR: [sender, digest, [[run, decode, prefill, prompt, answer, most,
+ * made, age]...], [ended...], [ordered...], [refused...], store, runner changes, whether the store
+ * is silent, [finished...], [reads...], [outcomes...], [full...], [leaving...], quarantine].
  */
 #include "messages/run_message.h"
 
@@ -15,10 +14,10 @@
 
 using nlohmann::json;
 
-/** Place of the quarantine in a message. */
+/** Index of the quarantine in a message. */
 constexpr std::size_t kQuarantineIndex = 14;
 
-/** Most runs taken from one datagram; more than one sender can have in its size. */
+/** Limit on runs decoded from one datagram; a valid datagram can't hold as many. */
 constexpr std::size_t kMaxRuns = 2000;
 
 run_record
@@ -310,12 +309,12 @@
     message.mLeaving = IdsFrom(body.at(13));
     const bool hasQuarantine =
       body.size() > kQuarantineIndex && !body.at(kQuarantineIndex).is_null();
-    if (hasQuarantine) { // Daemons of the version before it don't have the item.
+    if (hasQuarantine) { // Daemons of the version before the quarantine don't send the item.
       message.mQuarantine = DecodeQuarantine(body.at(kQuarantineIndex));
     }
     return message.mDaemon == 0 ? std::nullopt : std::optional<run_message>(message);
   } catch (const json::exception&) {
-    return std::nullopt; // The receiver counts it.
+    return std::nullopt; // The receiver counts invalid datagrams.
   }
 }
 
--- a/src/messages/wire_type.h
+++ b/src/messages/wire_type.h
@@ -1,7 +1,7 @@
 /**
  * @file wire_type.h
- * The concepts that the outside world meets forwarding through: the format of requests and calls,
- * and the store that holds the configuration, the runners and the terms.
+ * Concepts for the external interfaces of forwarding: the format of requests and calls, and the
+ * store that holds the configuration, the runners and the terms.
  */
 #pragma once
 
@@ -15,17 +15,17 @@
 
 namespace dunehook {
 
-/** An order to an engine to take another role. */
+/** An order to an engine to change its role. */
 struct role_order
 {
-  std::string mRunnerName;                ///< Id of the runner's life.
-  engine_role mRole = engine_role::eNone; ///< Role it shall take.
+  std::string mRunnerName;                ///< Id of the runner's incarnation.
+  engine_role mRole = engine_role::eNone; ///< New role.
   std::string mHolder;                    ///< Daemon that gives the order.
-  std::uint64_t mTerm = 0;                ///< The holder's term: the order's fence.
-  std::uint64_t mAfterOrders = 0;         ///< Orders the runner has taken so far, as known.
+  std::uint64_t mTerm = 0;                ///< The holder's term: the fencing token of the order.
+  std::uint64_t mAfterOrders = 0;         ///< Orders that the runner has accepted so far, as known.
 };
 
-/** Reads and writes the heads and the side calls of requests. */
+/** Reads and writes the heads of requests and answers, and the auxiliary calls to engines. */
 template<typename T>
 concept wire_format = requires(const http::fields& aHead,
                                http::fields& aOut,
@@ -34,7 +34,7 @@
                                const role_order& aOrder,
                                const http_answer& aAnswer)
 {
-  // Request heads: what a caller says, and what may be passed on of it.
+  // Request heads: their metadata, and which header fields may be forwarded.
   {
     T::ReadRequest(aHead)
     } -> std::same_as<request_facts>;
@@ -50,11 +50,11 @@
   {
     T::ReadAnswer(aHead, 200U)
     } -> std::same_as<answer_facts>;
-  // What an answer to a side call says of the runner.
+  // What the runner reports about itself in the answer to an auxiliary call.
   {
     T::ReadNotice(aAnswer)
     } -> std::same_as<runner_notice>;
-  // Side calls to engines.
+  // Auxiliary calls to engines.
   {
     T::ReserveCall(1U, duration{})
     } -> std::same_as<http_call>;
@@ -78,22 +78,22 @@
 /** A term that a daemon holds, or held. */
 struct term_record
 {
-  std::uint64_t mTerm = 0; ///< Rises with each holder, and as the store comes back older.
-  std::string mHolder;     ///< Name of the daemon that took it; empty if there's none.
+  std::uint64_t mTerm = 0; ///< Rises with each holder, and if an older store is restored.
+  std::string mHolder;     ///< Name of the daemon that holds it; empty if there's none.
 
   auto operator<=>(const term_record&) const = default;
 };
 
-/** A configuration and where it was read. */
+/** A configuration and the position that it was read at. */
 struct config_reading
 {
-  std::optional<routing_config> mConfig;    ///< The newest; nothing if there's none to read.
-  std::shared_ptr<const std::string> mText; ///< mConfig as the store has it, to be handed on.
-  store_mark mNext;                         ///< Where to wait for the one after it.
-  bool mMore = false;                       ///< There are newer ones already.
+  std::optional<routing_config> mConfig;    ///< The newest; empty if there's none.
+  std::shared_ptr<const std::string> mText; ///< mConfig as stored, to pass on.
+  store_mark mNext;                         ///< Position to wait at for the next.
+  bool mMore = false;                       ///< Newer ones exist already.
 };
 
-/** The store, as forwarding needs it. */
+/** The operations of the store that forwarding needs. */
 template<typename T>
 concept control_store = requires(T& aStore,
                                  const store_mark& aFrom,
@@ -102,52 +102,51 @@
                                  const std::string& aHolder,
                                  const quarantine_record& aRecord)
 {
-  // The newest configuration, read at once. The answer must begin within a time.
+  // Reads the newest configuration. The answer must begin within the given time.
   {
     aStore.ReadConfig(aWait)
     } -> std::same_as<asio::awaitable<result<config_reading>>>;
-  // The newest configuration from a position on, waiting for one; eRetentionPassed if the store has
-  // it no more, or has come back from an older copy since.
+  // Waits for a configuration after a position and returns the newest; eRetentionPassed if the
+  // store no longer has that position, or was restored from an older copy since.
   {
     aStore.AwaitConfig(aFrom, aWait)
     } -> std::same_as<asio::awaitable<result<config_reading>>>;
-  // Ends ReadConfig() or AwaitConfig() with an error unless its answer has begun. Returns whether
-  // it does.
+  // Makes ReadConfig() or AwaitConfig() fail unless its answer has begun. Returns whether it does.
   {
     aStore.StopWaiting()
     } -> std::same_as<bool>;
   {
     aStore.ReadRunners()
     } -> std::same_as<asio::awaitable<result<runner_listing>>>;
-  // The newest term, without a holder if there's none. Its number is above all former ones, also of
-  // those that the store has lost.
+  // Reads the newest term, without a holder if there's none. Its number is above all earlier ones,
+  // even those that the store has lost.
   {
     aStore.ReadTerm()
     } -> std::same_as<asio::awaitable<result<term_record>>>;
-  // Takes the term after @p aAt; eVersionConflict if another daemon was first.
+  // Acquires the term after @p aAt; eVersionConflict if another daemon was first.
   {
     aStore.TakeTerm(aAt, aHolder)
     } -> std::same_as<asio::awaitable<result<term_record>>>;
-  // Requests that were put into quarantine, also those whose time is over.
+  // Reads all quarantined requests, including those whose quarantine is over.
   {
     aStore.ReadQuarantines()
     } -> std::same_as<asio::awaitable<result<std::vector<quarantine_record>>>>;
-  // Keeps one; the newest record of a request holds.
+  // Stores a quarantine; the newest record of a request counts.
   {
     aStore.WriteQuarantine(aRecord)
     } -> std::same_as<asio::awaitable<result<void>>>;
   {
     aStore.RemoveQuarantine(aRecord.mRequest)
     } -> std::same_as<asio::awaitable<result<void>>>;
-  // A configuration from its text, which another daemon has handed on.
+  // Decodes a configuration from its text, as another daemon passed it on.
   {
     T::DecodeText(std::string_view{})
     } -> std::same_as<result<routing_config>>;
-  // Records of runners so far that could not be read.
+  // Number of runner entries so far that could not be read.
   {
     aStore.UnreadableEntries()
     } -> std::same_as<std::uint64_t>;
-  // Bytes taken in so far, also those of answers that broke off.
+  // Bytes received so far, including those of incomplete answers.
   {
     aStore.BytesIn()
     } -> std::same_as<std::uint64_t>;
--- a/tests/unit/message_test.cpp
+++ b/tests/unit/message_test.cpp
@@ -1,6 +1,7 @@
 /**
  * @file message_test.cpp
- * Messages between frontends and owners read back as they were written; broken ones are refused.
+ * Tests that messages between frontends and owners are decoded as they were encoded, and that
+ * invalid ones are refused.
  */
 #include "control/message_func.h"
 #include "peer/rpc_dispatcher.h"
