--- a/src/runners/runner_choice.cpp
+++ b/src/runners/runner_choice.cpp
@@ -13,9 +13,9 @@
 /** First and longest back-off from a runner that can't be reached. */
 constexpr duration kInitialBackOff = std::chrono::milliseconds(150);
 constexpr duration kMaxBackOff = std::chrono::milliseconds(1200);
-/** A trial of an engine that wasn't reached lately ends by itself after this: the limit of a call
- * for a place, and the way of what is told. Without trials every caller waits out that limit at an
- * engine that remains silent. */
+/** A probe of an engine that was unreachable lately expires after this: the time limit of a
+ * reservation call, and the delay of messages between daemons. Without probes, every caller would
+ * wait out that limit at an engine that doesn't answer. */
 constexpr duration kProbeTimeout = std::chrono::milliseconds(300);
 /** Back-off from a runner that refused: about the time until a slot becomes free. */
 constexpr duration kRefusedBackOff = std::chrono::milliseconds(30);
--- a/src/runners/upstream_connection.h
+++ b/src/runners/upstream_connection.h
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Sends a request and reads the head of the answer. The body may still be being sent when the
-   * answer arrives.
+   * Sends a request and reads the head of the answer. The answer may arrive before the body
+   * is sent in full.
    * @return the answer's head, eConnectionLost or eDeadlinePassed.
    * @pre no answer is being read.
    */
