--- a/tests/platform/crash_test.cpp
+++ b/tests/platform/crash_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file crash_test.cpp
- * A request that crashes the runners that run it is kept from further runners, with real processes.
+ * Tests with real processes that a request which crashes runners is quarantined by all daemons.
  */
 #include "tests/platform/fleet_bed.h"
 
@@ -16,18 +16,18 @@
 
 namespace {
 
-/** Crashes that one request may cause before it's kept from runners. */
-constexpr std::size_t kAllowed = 3;
-/** Time in which all daemons must know of a third crash, in ms. */
-constexpr int kKnownWithinMs = 3000;
-/** The latest that a final refusal may come, in ms: a quarter of the latency target of 0.3 s, and
- * the way of a busy machine. */
-constexpr std::int64_t kRefusalMs = 175;
-/** Time from a crash to the runner's next life, in ms. */
-constexpr int kDownMs = 400;
-/** Time that a plain runner takes for an answer, in ms. */
-constexpr int kPlainMs = 100;
-constexpr int kPrompt = 2000;
+/** Crashes that one request may cause before it's quarantined. */
+constexpr std::size_t kCrashLimit = 3;
+/** Time within which all daemons must know of the third crash, in ms. */
+constexpr int kPropagationMs = 3000;
+/** Longest time to the refusal of a quarantined request, in ms: a quarter of the latency target of
+ * 0.3 s, and an allowance for the delays of a busy machine. */
+constexpr std::int64_t kMaxRefusalMs = 175;
+/** Time from a crash to the runner's restart, in ms. */
+constexpr int kRestartMs = 400;
+/** Time that a plain runner needs for an answer, in ms. */
+constexpr int kPlainAnswerMs = 100;
+constexpr int kPromptTokens = 2000;
 constexpr int kEvents = 10;
 const std::string kPoison = "poison";
 
@@ -41,9 +41,9 @@
   /** Starts six generating engines, three plain runners and some daemons. */
   void StartFleet(std::size_t aDaemons)
   {
-    const json faults{ { "crashes_on", kPoison }, { "down_ms", kDownMs } };
+    const json faults{ { "crashes_on", kPoison }, { "down_ms", kRestartMs } };
     json slow = faults;
-    slow["step_ms"] = kPlainMs; // The crash comes before the answer.
+    slow["step_ms"] = kPlainAnswerMs; // The crash comes before the answer.
     for (int i = 1; i <= 3; ++i) {
       mBed.AddRunner("desk-" + std::to_string(i), { "desk", "", "ready", slow });
     }
@@ -55,13 +55,13 @@
     mBed.StartDaemons(std::vector<platform_daemon_options>(aDaemons));
   }
 
-  /** Starts callers that do something at the same time. @return their threads. */
-  static std::vector<std::thread> StartCallers(int aCount, const std::function<void(int)>& aWhat)
+  /** Runs @p aAction on several threads at once, with the number of each. @return the threads. */
+  static std::vector<std::thread> StartCallers(int aCount, const std::function<void(int)>& aAction)
   {
     std::vector<std::thread> callers;
     callers.reserve(static_cast<std::size_t>(aCount));
     for (int i = 0; i < aCount; ++i) {
-      callers.emplace_back(aWhat, i);
+      callers.emplace_back(aAction, i);
     }
     return callers;
   }
@@ -77,23 +77,26 @@
     return "r" + std::to_string(++mRequest);
   }
 
-  /** Sends a generation, as another try of the same caller if the body is the same. */
+  /** Sends a generation request. The same body makes it another attempt of the same request. */
   answer Generate(
     const std::string& aBody, std::size_t aDaemon, const std::string& aPath = "/turns/a")
   {
     mLastId = NextId();
-    return Call(
-      mBed.Callers(aDaemon), "POST", aPath, aBody, GenerationHeaders(mLastId, kPrompt, kEvents));
+    return Call(mBed.Callers(aDaemon),
+                "POST",
+                aPath,
+                aBody,
+                GenerationHeaders(mLastId, kPromptTokens, kEvents));
   }
 
-  answer Page(const std::string& aPath, std::size_t aDaemon)
+  answer GetPage(const std::string& aPath, std::size_t aDaemon)
   {
     mLastId = NextId();
     return Call(mBed.Callers(aDaemon), "GET", aPath, "", CallerHeaders(mLastId));
   }
 
-  /** @return tries that reached any runner, of requests with a text in their path or body. */
-  std::size_t Reached(const std::string& aText) const
+  /** @return how many attempts with a text in their path or body reached any runner. */
+  std::size_t CountReached(const std::string& aText) const
   {
     std::set<std::string> ids;
     for (const json& seen : mBed.Seen()) {
@@ -111,38 +114,37 @@
     return mBed.Crashes().size();
   }
 
-  /** Has a request crash as many runners as it's let, by trying it at all daemons in turn. */
+  /** Sends a request to the daemons in turn until it has crashed kCrashLimit runners. */
   void CrashThree()
   {
-    for (int i = 0; i < 8 && CrashCount() < kAllowed; ++i) {
+    for (int i = 0; i < 8 && CrashCount() < kCrashLimit; ++i) {
       Generate(kPoison, static_cast<std::size_t>(i) % mBed.Daemons());
     }
-    LONGS_EQUAL(kAllowed, CrashCount());
+    LONGS_EQUAL(kCrashLimit, CrashCount());
   }
 
-  /** Checks that a refusal came at once, and tells that the request didn't run and when to come
-   * back. */
+  /** Checks that the request was refused at once, with status 503 and a Retry-After header. */
   void CheckRefusal(const answer& aAnswer, std::int64_t aSent)
   {
     LONGS_EQUAL(503, aAnswer.mStatus);
-    CHECK_TRUE(NowMs() - aSent <= kRefusalMs);
+    CHECK_TRUE(NowMs() - aSent <= kMaxRefusalMs);
     CHECK_TRUE(aAnswer.mHeaders.count("retry-after") == 1);
   }
 
-  /** Checks that a daemon sends the request to no runner. */
-  void CheckKeptAt(std::size_t aDaemon, const std::string& aPath = "/turns/a")
+  /** Checks that a daemon refuses the request and sends it to no runner. */
+  void CheckQuarantinedAt(std::size_t aDaemon, const std::string& aPath = "/turns/a")
   {
-    const std::size_t reached = Reached(kPoison);
+    const std::size_t reached = CountReached(kPoison);
     const std::int64_t sent = NowMs();
     CheckRefusal(Generate(kPoison, aDaemon, aPath), sent);
-    LONGS_EQUAL(reached, Reached(kPoison));
+    LONGS_EQUAL(reached, CountReached(kPoison));
   }
 
-  /** Checks the same for all daemons. */
-  void CheckKept(const std::string& aPath = "/turns/a")
+  /** Checks that all daemons refuse the request and send it to no runner. */
+  void CheckQuarantinedEverywhere(const std::string& aPath = "/turns/a")
   {
     for (std::size_t daemon = 0; daemon < mBed.Daemons(); ++daemon) {
-      CheckKeptAt(daemon, aPath);
+      CheckQuarantinedAt(daemon, aPath);
     }
   }
 
@@ -151,8 +153,8 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(aMs));
   }
 
-  /** @return how many of some requests, each with a body of its own, are served at their first or
-   * second try. */
+  /** @return how many of @p aRequests, each with its own body, are served at the first or second
+   * attempt. */
   int CountServed(int aRequests)
   {
     int served = 0;
@@ -166,20 +168,20 @@
     return served;
   }
 
-  std::string mLastId; ///< Of the last request.
+  std::string mLastId; ///< Id of the last request.
 };
 
-TEST(crashes, ARequestThatCrashedThreeEnginesReachesNoFurtherOneByAnyDaemon)
+TEST(crashes, NoDaemonSendsARequestThatCrashedThreeEnginesToAnother)
 {
   StartFleet(3);
   CrashThree();
-  Wait(kKnownWithinMs);
-  CheckKept();
-  CheckKept();
-  LONGS_EQUAL(kAllowed, CrashCount());
+  Wait(kPropagationMs);
+  CheckQuarantinedEverywhere();
+  CheckQuarantinedEverywhere();
+  LONGS_EQUAL(kCrashLimit, CrashCount());
 }
 
-TEST(crashes, ManyTriesAtOnceAtAllDaemonsReachNoEngineOnceThreeHaveCrashed)
+TEST(crashes, ConcurrentAttemptsAtAllDaemonsReachNoEngineOnceThreeHaveCrashed)
 {
   StartFleet(3);
   std::vector<std::thread> callers = StartCallers(9, [this](int aNumber) {
@@ -188,31 +190,31 @@
          "POST",
          "/turns/a",
          kPoison,
-         GenerationHeaders(id, kPrompt, kEvents));
+         GenerationHeaders(id, kPromptTokens, kEvents));
   });
   Join(std::move(callers));
   CHECK_TRUE(CrashCount() > 0);
   for (int i = 0; i < 3; ++i) {
     Generate(kPoison, static_cast<std::size_t>(i));
   }
-  Wait(kKnownWithinMs);
-  CheckKept();
+  Wait(kPropagationMs);
+  CheckQuarantinedEverywhere();
 }
 
 TEST(crashes, APlainRequestThatCrashedThreeRunnersReachesNoFurtherOne)
 {
   StartFleet(3);
-  for (int i = 0; i < 8 && CrashCount() < kAllowed; ++i) {
-    Page("/pages/" + kPoison, static_cast<std::size_t>(i) % 3);
+  for (int i = 0; i < 8 && CrashCount() < kCrashLimit; ++i) {
+    GetPage("/pages/" + kPoison, static_cast<std::size_t>(i) % 3);
   }
-  Wait(kKnownWithinMs);
-  const std::size_t reached = Reached(kPoison);
+  Wait(kPropagationMs);
+  const std::size_t reached = CountReached(kPoison);
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
     const std::int64_t sent = NowMs();
-    CheckRefusal(Page("/pages/" + kPoison, daemon), sent);
-    LONGS_EQUAL(200, Page("/pages/other", daemon).mStatus);
+    CheckRefusal(GetPage("/pages/" + kPoison, daemon), sent);
+    LONGS_EQUAL(200, GetPage("/pages/other", daemon).mStatus);
   }
-  LONGS_EQUAL(reached, Reached(kPoison));
+  LONGS_EQUAL(reached, CountReached(kPoison));
 }
 
 TEST(crashes, AStreamThatIsResumedCrashesNoFurtherEngineOnceThreeHaveCrashed)
@@ -221,13 +223,13 @@
   for (int i = 0; i < 4; ++i) {
     Generate(kPoison, static_cast<std::size_t>(i) % 3, "/resumed/a");
   }
-  Wait(kKnownWithinMs);
+  Wait(kPropagationMs);
   const std::size_t crashes = CrashCount();
-  CheckKept("/resumed/a");
+  CheckQuarantinedEverywhere("/resumed/a");
   LONGS_EQUAL(crashes, CrashCount());
 }
 
-TEST(crashes, CallersWhoseRunsBrokeBesideItAreServedAfterwards)
+TEST(crashes, CallersWhoseRunsBrokeInACrashAreServedAfterwards)
 {
   StartFleet(3);
   std::vector<std::thread> callers = StartCallers(12, [this](int aNumber) {
@@ -236,14 +238,14 @@
          "POST",
          "/resumed/a",
          "other " + std::to_string(aNumber),
-         GenerationHeaders(id, kPrompt, 100));
+         GenerationHeaders(id, kPromptTokens, 100));
   });
   Wait(200);
   CrashThree();
   Join(std::move(callers));
-  Wait(kDownMs * 2);
+  Wait(kRestartMs * 2);
   LONGS_EQUAL(12, CountServed(12));
-  CheckKept();
+  CheckQuarantinedEverywhere();
 }
 
 TEST(crashes, AllCallersAreServedAfterAllEnginesHaveFailedThreeTimes)
@@ -256,93 +258,94 @@
            "POST",
            "/turns/a",
            "other " + std::to_string(aNumber),
-           GenerationHeaders(id, kPrompt, 100));
+           GenerationHeaders(id, kPromptTokens, 100));
     });
     Wait(300);
     for (int i = 1; i <= 6; ++i) {
       mBed.CrashRunner("decode-" + std::to_string(i));
     }
     Join(std::move(callers));
-    Wait(kDownMs * 3);
+    Wait(kRestartMs * 3);
   }
   LONGS_EQUAL(18, CrashCount());
   LONGS_EQUAL(12, CountServed(12));
 }
 
-TEST(crashes, ADaemonThatStartsLaterKeepsTheRequestFromRunners)
+TEST(crashes, ADaemonThatStartsLaterLearnsOfTheQuarantine)
 {
   StartFleet(2);
   CrashThree();
   const std::size_t fresh = mBed.StartDaemon();
-  Wait(kKnownWithinMs);
-  CheckKeptAt(fresh);
+  Wait(kPropagationMs);
+  CheckQuarantinedAt(fresh);
 }
 
-TEST(crashes, DaemonsThatAreAllKilledKeepTheRequestFromRunnersAfterTheirStart)
+TEST(crashes, TheQuarantineSurvivesTheRestartOfAllDaemons)
 {
   StartFleet(3);
   CrashThree();
-  Wait(kKnownWithinMs);
+  Wait(kPropagationMs);
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
     mBed.Daemon(daemon).Signal(SIGKILL);
   }
   for (std::size_t daemon = 0; daemon < 3; ++daemon) {
     mBed.RestartDaemon(daemon);
   }
-  Wait(kKnownWithinMs);
-  CheckKept();
+  Wait(kPropagationMs);
+  CheckQuarantinedEverywhere();
 }
 
-TEST(crashes, ADaemonThatStoodStillMeanwhileKeepsTheRequestFromRunners)
+TEST(crashes, ADaemonThatWasSuspendedLearnsOfTheQuarantine)
 {
   StartFleet(3);
   mBed.Daemon(2).Signal(SIGSTOP);
-  for (int i = 0; i < 8 && CrashCount() < kAllowed; ++i) {
+  for (int i = 0; i < 8 && CrashCount() < kCrashLimit; ++i) {
     Generate(kPoison, static_cast<std::size_t>(i) % 2);
   }
-  Wait(kKnownWithinMs);
+  Wait(kPropagationMs);
   mBed.Daemon(2).Signal(SIGCONT);
-  Wait(kKnownWithinMs);
-  CheckKeptAt(2);
+  Wait(kPropagationMs);
+  CheckQuarantinedAt(2);
 }
 
-TEST(crashes, DaemonsTellEachOtherWhileTheStoreIsSilent)
+TEST(crashes, DaemonsShareQuarantinesWhileTheStoreIsSilent)
 {
   StartFleet(3);
   mBed.SetStore("silent");
   CrashThree();
-  Wait(kKnownWithinMs);
-  CheckKept();
+  Wait(kPropagationMs);
+  CheckQuarantinedEverywhere();
 }
 
-TEST(crashes, QuarantinesAreReadFromTheStoreOnceAndByNoDaemonThatOthersCanTell)
+TEST(crashes, OnlyADaemonThatNoOtherCanInformReadsQuarantinesFromTheStore)
 {
-  constexpr int kReadWithinMs = 2000;
+  constexpr int kMaxReadMs = 2000;
   StartFleet(1);
-  CHECK_TRUE(Eventually([&] { return mBed.QuarantineReads() == 1; }, kReadWithinMs));
+  CHECK_TRUE(Eventually([&] { return mBed.QuarantineReads() == 1; }, kMaxReadMs));
   mBed.StartDaemon();
-  Wait(kReadWithinMs);
+  Wait(kMaxReadMs);
   LONGS_EQUAL(1, mBed.QuarantineReads());
 }
 
-TEST(crashes, APromptThatCrashedThreeReadersReachesNoFurtherOne)
+TEST(crashes, APromptThatCrashedThreePrefillEnginesReachesNoOther)
 {
   const json faults{ { "crashes_on", kPoison },
                      { "crashes_reading", true },
-                     { "down_ms", kDownMs } };
+                     { "down_ms", kRestartMs } };
   for (int i = 1; i <= 4; ++i) {
     mBed.AddRunner("prefill-" + std::to_string(i), { "tutor", "prefill", "ready", faults });
   }
-  mBed.AddRunner("decode-1", { "tutor", "decode", "ready", faults }); // It may read itself.
+  mBed.AddRunner("decode-1",
+                 { "tutor", "decode", "ready", faults }); // It may run the prefill itself.
   mBed.PutConfig(1);
   mBed.StartDaemons(std::vector<platform_daemon_options>(3));
-  for (int i = 0; i < 20 && CrashCount() < kAllowed; ++i) {
+  for (int i = 0; i < 20 && CrashCount() < kCrashLimit; ++i) {
     Generate(kPoison, static_cast<std::size_t>(i) % 3);
-    Wait(kDownMs / 4); // A try that comes while the readers are down is refused.
+    Wait(kRestartMs / 4); // An attempt is refused while all prefill engines are down.
   }
-  CHECK_TRUE(CrashCount() >= kAllowed);
-  Wait(kKnownWithinMs);
+  CHECK_TRUE(CrashCount() >= kCrashLimit);
+  Wait(kPropagationMs);
   const std::size_t crashes = CrashCount();
-  CheckKept();
+  CheckQuarantinedEverywhere();
   LONGS_EQUAL(crashes, CrashCount());
 }
