--- a/src/forward/gateway.h
+++ b/src/forward/gateway.h
@@ -69,7 +69,7 @@
     mState.mReportServed = [this](request_fingerprint aRequest) {
       mQuarantines.Link().NoteServed(aRequest);
     };
-    mState.mAskPlacer = [this](place_question aQuestion, std::function<bool()> aGone) {
+    mState.mAskPlacer = [this](place_request aQuestion, std::function<bool()> aGone) {
       return mPlacers.Ask(std::move(aQuestion), std::move(aGone));
     };
   }
--- a/src/forward/generation_call.h
+++ b/src/forward/generation_call.h
@@ -442,7 +442,7 @@
     if (mUnknown) {
       status = TimeLeft() <= duration{ 0 } ? 504 : 502;
     }
-    const duration back = ComeBackIn(mPlace.FreeIn(), mState.Draw());
+    const duration back = RetryDelay(mPlace.FreeIn(), mState.Draw());
     mState.mMetrics.CountRequest(mRoute.mName, status == 503 ? "refused" : "failed", aReason);
     mState.LogDecision(log_level::eWarning,
                        "generation_given_up",
--- a/src/forward/generation_place.h
+++ b/src/forward/generation_place.h
@@ -51,7 +51,7 @@
     for (;;) {
       const duration spent = mState.Now() - began;
       aDemand.mFirstEventWithin = aDemand.mReturned ? aTarget : aFirstEventBy - mState.Now();
-      aDemand.mWaited = PartOver(spent, aWait.Of(aDemand.mReturned));
+      aDemand.mWaited = WaitedShare(spent, aWait.Of(aDemand.mReturned));
       const placement_answer answer = co_await Choose(aDemand, aTraits, aWait.After(spent));
       if (mExchange.Gone()) {
         co_return false;
@@ -134,9 +134,9 @@
                                            place_wait aWait)
   {
     const instant now = mState.Now();
-    aDemand.mBarred = mState.mRunners.Barred(now);
+    aDemand.mExcluded = mState.mRunners.Barred(now);
     if (mState.mSettings.mPlacement.mPlacers) {
-      place_question question;
+      place_request question;
       question.mDemand = aDemand;
       question.mPromptKey = mPromptKey;
       question.mRank = mRank;
--- a/src/forward/plain_call.h
+++ b/src/forward/plain_call.h
@@ -297,7 +297,7 @@
     if (mUnknown) {
       status = TimeLeft() <= duration{ 0 } ? 504 : 502;
     }
-    const duration back = ComeBackIn();
+    const duration back = RetryDelay();
     mState.mMetrics.CountRequest(mRoute.mName, status == 503 ? "refused" : "failed", aReason);
     mState.LogDecision(log_level::eWarning,
                        "request_given_up",
@@ -312,7 +312,7 @@
   }
 
   /** @return when the caller of a request that found no runner shall come back. */
-  duration ComeBackIn()
+  duration RetryDelay()
   {
     const double spread = 0.5 + mState.Draw();
     const duration back = FromSeconds(ToSeconds(kPlainComeBack) * spread);
--- a/src/links/placer_link.cpp
+++ b/src/links/placer_link.cpp
@@ -85,7 +85,7 @@
 }
 
 asio::awaitable<std::optional<place_reply>>
-placer_link::Ask(place_question aQuestion, std::function<bool()> aGone)
+placer_link::Ask(place_request aQuestion, std::function<bool()> aGone)
 {
   aQuestion.mDaemon = mLink.Members().Self().mIncarnation.mValue;
   const instant asked = mState.Now();
@@ -105,7 +105,7 @@
       Withdraw(demand.mRun);
       co_return std::nullopt;
     }
-    if (reply && reply->mState != place_state::eNotHere) {
+    if (reply && reply->mState != place_state::eNotPlacing) {
       co_return reply;
     }
   }
@@ -115,7 +115,7 @@
 
 asio::awaitable<std::optional<place_reply>>
 placer_link::AskOne(const placer& aPlacer,
-                    const place_question& aQuestion,
+                    const place_request& aQuestion,
                     const std::function<bool()>& aGone)
 {
   const run_id run = aQuestion.mDemand.mRun;
@@ -183,7 +183,7 @@
 }
 
 place_reply
-placer_link::Answer(const place_question& aQuestion, std::uint64_t aDaemon, const endpoint& aFrom)
+placer_link::Answer(const place_request& aQuestion, std::uint64_t aDaemon, const endpoint& aFrom)
 {
   const instant now = mState.Now();
   if (!mReady() || now < mListensUntil) {
@@ -214,7 +214,7 @@
   if (const auto* const reply = std::get_if<place_reply>(&message)) {
     Deliver(*reply);
   }
-  if (const auto* const question = std::get_if<place_question>(&message)) {
+  if (const auto* const question = std::get_if<place_request>(&message)) {
     const endpoint asker = EndpointOf(aFrom);
     SendUdp(mSocket, Encode(Answer(*question, question->mDaemon, asker)), asker);
   }
@@ -228,7 +228,7 @@
     if (mState.mPlaceQueue.Waiting() == 0) {
       continue;
     }
-    for (const placed_reply& one : mState.mPlaceQueue.Tick(mState.Now())) {
+    for (const addressed_reply& one : mState.mPlaceQueue.Tick(mState.Now())) {
       if (one.mTo != endpoint{}) {
         SendUdp(mSocket, Encode(one.mReply), one.mTo);
       } else if (!Deliver(one.mReply)) {
--- a/src/links/placer_link.h
+++ b/src/links/placer_link.h
@@ -41,7 +41,7 @@
    * @param aGone tells whether the caller has left.
    * @return the answer, or nothing if this daemon must decide by itself.
    */
-  asio::awaitable<std::optional<place_reply>> Ask(place_question aQuestion,
+  asio::awaitable<std::optional<place_reply>> Ask(place_request aQuestion,
                                                   std::function<bool()> aGone);
   /** Tells the daemons that place of runs. */
   void Tell(run_message aMessage);
@@ -80,13 +80,13 @@
   asio::awaitable<void> SendDigests();
   /** Asks one daemon, and waits for the last answer. */
   asio::awaitable<std::optional<place_reply>> AskOne(const placer& aPlacer,
-                                                     const place_question& aQuestion,
+                                                     const place_request& aQuestion,
                                                      const std::function<bool()>& aGone);
   /** Waits for an answer. @return whether one came in time. */
   asio::awaitable<bool> Await(std::shared_ptr<open_question> aOpen,
                               instant aUntil,
                               const std::function<bool()>& aGone);
-  place_reply Answer(const place_question& aQuestion, std::uint64_t aDaemon, const endpoint& aFrom);
+  place_reply Answer(const place_request& aQuestion, std::uint64_t aDaemon, const endpoint& aFrom);
   /** Hands an answer to whoever asked. @return whether somebody still waits for it. */
   bool Deliver(const place_reply& aReply);
   /** Takes a question back whose caller has left, and the place that it may have. */
--- a/src/messages/place_message.cpp
+++ b/src/messages/place_message.cpp
@@ -23,10 +23,10 @@
   return { bytes.begin(), bytes.end() };
 }
 
-place_question
+place_request
 QuestionFrom(const json& aBody)
 {
-  place_question question;
+  place_request question;
   generation_demand& demand = question.mDemand;
   question.mDaemon = aBody.at(1).get<std::uint64_t>();
   question.mRound = aBody.at(2).get<std::uint32_t>();
@@ -45,7 +45,7 @@
   question.mRank = aBody.at(15).get<std::uint32_t>();
   question.mWait.mNew = duration(aBody.at(16).get<std::int64_t>());
   question.mWait.mReturned = duration(aBody.at(17).get<std::int64_t>());
-  demand.mBarred = IdsFrom(aBody.at(18));
+  demand.mExcluded = IdsFrom(aBody.at(18));
   return question;
 }
 
@@ -74,7 +74,7 @@
 } // namespace
 
 std::string
-Encode(const place_question& aQuestion)
+Encode(const place_request& aQuestion)
 {
   const generation_demand& demand = aQuestion.mDemand;
   return Pack(json::array({ kQuestion,
@@ -95,7 +95,7 @@
                             aQuestion.mRank,
                             aQuestion.mWait.mNew.count(),
                             aQuestion.mWait.mReturned.count(),
-                            IdsOf(demand.mBarred) }));
+                            IdsOf(demand.mExcluded) }));
 }
 
 std::string
--- a/src/messages/place_message.h
+++ b/src/messages/place_message.h
@@ -14,14 +14,14 @@
 
 /** @return a question as CBOR. */
 std::string
-Encode(const place_question& aQuestion);
+Encode(const place_request& aQuestion);
 
 /** @return an answer as CBOR. */
 std::string
 Encode(const place_reply& aReply);
 
 /** Nothing, where a datagram can't be read. */
-using placing_message = std::variant<std::monostate, place_question, place_reply>;
+using placing_message = std::variant<std::monostate, place_request, place_reply>;
 
 /** @return the question or the answer in a datagram. */
 placing_message
--- a/src/messages/run_message.cpp
+++ b/src/messages/run_message.cpp
@@ -31,7 +31,7 @@
   run.mPromptTokens = aItem.at(3).get<std::uint32_t>();
   run.mAnswerTokens = aItem.at(4).get<std::uint32_t>();
   run.mMostTokens = aItem.at(5).get<std::uint32_t>();
-  run.mMadeTokens = aItem.at(6).get<std::uint32_t>();
+  run.mGeneratedTokens = aItem.at(6).get<std::uint32_t>();
   run.mSeen = aNow - duration(aItem.at(7).get<std::int64_t>());
   run.mDaemon = aDaemon;
   return run;
@@ -114,8 +114,11 @@
 {
   json items = json::array();
   for (const finished_run& run : aMessage.mFinished) {
-    items.push_back(
-      { run.mRun.mValue, run.mTokens, run.mPaced, run.mTook.count(), run.mLongestGap.count() });
+    items.push_back({ run.mRun.mValue,
+                      run.mTokens,
+                      run.mPacedTokens,
+                      run.mTook.count(),
+                      run.mLongestGap.count() });
   }
   return items;
 }
@@ -232,7 +235,7 @@
                       run.mPromptTokens,
                       run.mAnswerTokens,
                       run.mMostTokens,
-                      run.mMadeTokens,
+                      run.mGeneratedTokens,
                       (aNow - run.mSeen).count() });
   }
   json ended = json::array();
--- a/src/placement/event_rate.h
+++ b/src/placement/event_rate.h
@@ -16,20 +16,20 @@
 public:
   void Note(instant aNow)
   {
-    mRate = PerSecond(aNow) + 1.0 / ToSeconds(kMemory);
-    mSeen = aNow;
+    mRate = PerSecond(aNow) + 1.0 / ToSeconds(kTimeConstant);
+    mLastEvent = aNow;
   }
   double PerSecond(instant aNow) const
   {
-    return mRate * std::exp(-ToSeconds(aNow - mSeen) / ToSeconds(kMemory));
+    return mRate * std::exp(-ToSeconds(aNow - mLastEvent) / ToSeconds(kTimeConstant));
   }
 
 private:
   /** An event's weight falls to 37% in this time: some tens of events on a busy service. */
-  static constexpr duration kMemory = std::chrono::seconds(1);
+  static constexpr duration kTimeConstant = std::chrono::seconds(1);
 
-  double mRate = 0.0; ///< At mSeen.
-  instant mSeen{ 0 }; ///< The last event.
+  double mRate = 0.0;      ///< At mLastEvent.
+  instant mLastEvent{ 0 }; ///< The last event.
 };
 
 } // namespace dunehook
--- a/src/placement/learned_mean.h
+++ b/src/placement/learned_mean.h
@@ -16,7 +16,7 @@
   void Learn(double aValue)
   {
     ++mSeen;
-    mMean += std::max(kLeastWeight, 1.0 / mSeen) * (aValue - mMean);
+    mMean += std::max(kMinWeight, 1.0 / mSeen) * (aValue - mMean);
   }
   /** @return whether a value was seen. */
   bool Known() const { return mSeen > 0; }
@@ -25,7 +25,7 @@
 
 private:
   /** Weight of the newest value once some were seen. */
-  static constexpr double kLeastWeight = 0.1;
+  static constexpr double kMinWeight = 0.1;
 
   double mMean = 0.0; ///< Of the values seen.
   int mSeen = 0;      ///< Values seen.
--- a/src/placement/memory_forecast.h
+++ b/src/placement/memory_forecast.h
@@ -15,7 +15,7 @@
 namespace dunehook {
 
 /** How answers relate to callers' guesses; learned from finished runs. */
-class guess_model
+class answer_length_model
 {
 public:
   /** Takes in a finished run. */
@@ -33,13 +33,13 @@
 };
 
 /** A run that grows. */
-struct growing_run
+struct forecast_run
 {
-  double mPrompt = 0.0; ///< Tokens held from the start.
-  double mMade = 0.0;   ///< Tokens made.
-  double mGuess = 1.0;  ///< Guessed tokens of the whole answer.
-  double mMost = 0.0;   ///< Most tokens of the answer; 0 if unknown.
-  double mDelay = 0.0;  ///< Microseconds until it goes on growing; negative if it has since.
+  double mPrompt = 0.0;    ///< Tokens held from the start.
+  double mGenerated = 0.0; ///< Tokens made.
+  double mGuess = 1.0;     ///< Guessed tokens of the whole answer.
+  double mMaxTokens = 0.0; ///< Most tokens of the answer; 0 if unknown.
+  double mDelay = 0.0;     ///< Microseconds until it goes on growing; negative if it has since.
 };
 
 /** The forecast of one engine. */
@@ -50,18 +50,18 @@
    * @param aRuns runs on the engine.
    * @param aMicrosPerToken time of one token of a run.
    */
-  memory_forecast(const std::vector<growing_run>& aRuns,
+  memory_forecast(const std::vector<forecast_run>& aRuns,
                   double aMicrosPerToken,
-                  const guess_model& aModel);
+                  const answer_length_model& aModel);
 
   /**
    * @param aNewcomer a run to add.
    * @param aCaution spreads added to the expected sum.
    * @return the highest sum of tokens while the newcomer is likely to run.
    */
-  double Peak(const growing_run& aNewcomer, double aCaution) const;
+  double Peak(const forecast_run& aNewcomer, double aCaution) const;
   /** @return whether the peak stays within @p aMemory tokens. */
-  bool Fits(const growing_run& aNewcomer, double aCaution, double aMemory) const;
+  bool Fits(const forecast_run& aNewcomer, double aCaution, double aMemory) const;
 
 private:
   /** Sum of expected tokens, and of their variances. */
@@ -72,25 +72,26 @@
   };
 
   /** @return the highest sum, or any that is above @p aEnough. */
-  double PeakUpTo(const growing_run& aNewcomer, double aCaution, double aEnough) const;
+  double PeakUntilAbove(const forecast_run& aNewcomer, double aCaution, double aEnough) const;
   /** A run with what doesn't change from one instant of the forecast to the next. */
-  struct watched_run
+  struct prepared_run
   {
-    growing_run mRun;         ///< The run.
-    double mMedian = 0.0;     ///< Of the logarithm of its answer's length.
-    double mReachedNow = 1.0; ///< Chance that an answer of its guess is as long as it's by now.
+    forecast_run mRun;    ///< The run.
+    double mMedian = 0.0; ///< Of the logarithm of its answer's length.
+    double mProbabilityReached =
+      1.0; ///< Chance that an answer of its guess is as long as it's by now.
   };
 
-  watched_run Watch(const growing_run& aRun) const;
+  prepared_run Prepare(const forecast_run& aRun) const;
   /** @return chance that an answer with a median is longer than @p aTokens. */
-  double Reaches(double aMedian, double aTokens) const;
-  double Survival(const watched_run& aRun, double aTokens) const;
-  void Add(const watched_run& aRun, double aAfterMicros, token_sum& aSum) const;
+  double ProbabilityLonger(double aMedian, double aTokens) const;
+  double SurvivalProbability(const prepared_run& aRun, double aTokens) const;
+  void Add(const prepared_run& aRun, double aAfterMicros, token_sum& aSum) const;
 
-  double mMicrosPerToken;         ///< Above zero.
-  double mBias;                   ///< Of the guesses.
-  double mSpread;                 ///< Of the guesses.
-  std::vector<watched_run> mRuns; ///< On the engine.
+  double mMicrosPerToken;          ///< Above zero.
+  double mBias;                    ///< Of the guesses.
+  double mSpread;                  ///< Of the guesses.
+  std::vector<prepared_run> mRuns; ///< On the engine.
 };
 
 } // namespace dunehook
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -14,61 +14,61 @@
 namespace {
 
 /** Waits that are looked at for a demand that doesn't fit now. */
-constexpr std::array<duration, 7> kWaits{ duration{ 0 },      duration{ 50000 },
-                                          duration{ 120000 }, duration{ 250000 },
-                                          duration{ 500000 }, duration{ 1000000 },
-                                          duration{ 2000000 } };
+constexpr std::array<duration, 7> kProbedDelays{ duration{ 0 },      duration{ 50000 },
+                                                 duration{ 120000 }, duration{ 250000 },
+                                                 duration{ 500000 }, duration{ 1000000 },
+                                                 duration{ 2000000 } };
 /** An engine that always fails is worth this much waiting for another. */
-constexpr double kFailureMicros = 1500000.0;
+constexpr double kFailureCostMicros = 1500000.0;
 /** A share of failures that any engine may have: a single failure of late. */
-constexpr double kFailuresLeftOut = 0.06;
+constexpr double kIgnoredFailureShare = 0.06;
 /** An engine that has failed a request is taken again for it only where there's no other. */
-constexpr double kFailedThisMicros = 5000000.0;
+constexpr double kFailedThisRequestCostMicros = 5000000.0;
 /** With no engine at all, one may be back after this. */
-constexpr duration kNoEngineRest = std::chrono::seconds(1);
+constexpr duration kNoEngineRetryDelay = std::chrono::seconds(1);
 /** With engines that read too late, the queue is shorter after this. */
-constexpr duration kTooLateRest = std::chrono::milliseconds(300);
+constexpr duration kTooLateRetryDelay = std::chrono::milliseconds(300);
 /** A decode engine that has read a prompt rests this long before the next: its runs catch up. */
-constexpr duration kDecodeReadRest = std::chrono::milliseconds(350);
+constexpr duration kDecodeReadInterval = std::chrono::milliseconds(350);
 /** Part of the longest pause between events that a read at a decode engine may take. */
-constexpr double kPausePart = 0.85;
+constexpr double kMaxReadPauseShare = 0.85;
 /** Weight of a run where engines are chosen by the number of runs. */
-constexpr double kRunWeight = 0.05;
+constexpr double kLoadPerRun = 0.05;
 /** Time from the end of a read to the first token: one call, and the memory's move. */
 constexpr duration kHandoffTime = std::chrono::milliseconds(15);
 /** Moves between halls take longer and are charged more: worth this much waiting. */
-constexpr double kOtherHallMoveMicros = 25000.0;
+constexpr double kOtherHallTransferCostMicros = 25000.0;
 /** Events that come from another hall: worth this much waiting. */
-constexpr double kOtherHallCallMicros = 6000.0;
+constexpr double kOtherHallCallCostMicros = 6000.0;
 /** A full engine against an empty one: tokens come slower, and guesses fail more often. */
-constexpr double kFullEngineMicros = 400000.0;
+constexpr double kFullEngineCostMicros = 400000.0;
 /** A decode engine reads prompts at half of the pace of a prefill engine. */
-constexpr double kDecodeReadShare = 0.5;
+constexpr double kDecodeReadSpeedFactor = 0.5;
 /** Waiting for a prefill engine beyond this makes reading at the decode engine the better way. */
-constexpr double kDecodeReadPenaltyMicros = 400000.0;
+constexpr double kDecodeReadCostMicros = 400000.0;
 /** Decode engines that are looked at closely for one demand, the emptiest ones: an asker doesn't
  * wait for a comparison of thousands. */
-constexpr std::size_t kMostLooks = 96;
+constexpr std::size_t kMaxComparedEngines = 96;
 
 /** @return the demand as a run that starts now. */
-growing_run
-NewcomerOf(const generation_demand& aDemand)
+forecast_run
+NewRun(const generation_demand& aDemand)
 {
-  growing_run newcomer;
+  forecast_run newcomer;
   newcomer.mPrompt = aDemand.mPromptTokens;
   newcomer.mGuess = aDemand.mAnswerTokens;
-  newcomer.mMost = aDemand.mMostTokens;
+  newcomer.mMaxTokens = aDemand.mMostTokens;
   return newcomer;
 }
 
 /** @return what an engine's failures weigh, as waiting. */
 double
-FailureMicros(const runner_state& aEngine, const generation_demand& aDemand)
+FailureCostMicros(const runner_state& aEngine, const generation_demand& aDemand)
 {
   const bool failedThis =
     std::find(aDemand.mFailed.begin(), aDemand.mFailed.end(), aEngine.mId) != aDemand.mFailed.end();
-  const double share = std::max(0.0, aEngine.mFailureShare - kFailuresLeftOut);
-  return (failedThis ? kFailedThisMicros : 0.0) + kFailureMicros * share;
+  const double share = std::max(0.0, aEngine.mFailureShare - kIgnoredFailureShare);
+  return (failedThis ? kFailedThisRequestCostMicros : 0.0) + kFailureCostMicros * share;
 }
 
 /** @return whether a prompt is short enough to be read by a decode engine between two events of its
@@ -77,8 +77,8 @@
 bool
 FitsBetweenEvents(const generation_demand& aDemand, double aEventMicros)
 {
-  const double read = aDemand.mPromptTokens / (kGuessedReadSpeed * kDecodeReadShare);
-  return read + aEventMicros < kPausePart * Micros(aDemand.mEventGap);
+  const double read = aDemand.mPromptTokens / (kDefaultTokensPerMicro * kDecodeReadSpeedFactor);
+  return read + aEventMicros < kMaxReadPauseShare * Micros(aDemand.mEventGap);
 }
 
 /** @return what an engine's load, failures and way weigh, as waiting. */
@@ -86,8 +86,8 @@
 BaseCost(const runner_state& aDecode, const generation_demand& aDemand, double aLoad)
 {
   const bool sameHall = aDecode.mEntry.mHall == aDemand.mHall;
-  return kFullEngineMicros * aLoad * aLoad + FailureMicros(aDecode, aDemand) +
-         (sameHall ? 0.0 : kOtherHallCallMicros);
+  return kFullEngineCostMicros * aLoad * aLoad + FailureCostMicros(aDecode, aDemand) +
+         (sameHall ? 0.0 : kOtherHallCallCostMicros);
 }
 
 } // namespace
@@ -127,13 +127,13 @@
 memory_forecast
 placement_table::ForecastOf(service_runner_id aDecode, instant aFrom) const
 {
-  std::vector<growing_run> runs;
+  std::vector<forecast_run> runs;
   for (const run_record* const run : RunsOn(aDecode)) {
-    growing_run growing;
+    forecast_run growing;
     growing.mPrompt = run->mPromptTokens;
-    growing.mMade = run->mMadeTokens;
+    growing.mGenerated = run->mGeneratedTokens;
     growing.mGuess = run->mAnswerTokens;
-    growing.mMost = run->mMostTokens;
+    growing.mMaxTokens = run->mMostTokens;
     growing.mDelay = Micros(run->mSeen - aFrom);
     runs.push_back(growing);
   }
@@ -155,33 +155,33 @@
 }
 
 duration
-placement_table::OwnReadTime(std::uint32_t aTokens) const
+placement_table::DecodeReadTime(std::uint32_t aTokens) const
 {
-  return FromMicros(aTokens / (ReadSpeed() * kDecodeReadShare));
+  return FromMicros(aTokens / (ReadSpeed() * kDecodeReadSpeedFactor));
 }
 
 duration
-placement_table::FitsIn(service_runner_id aDecode,
-                        const generation_demand& aDemand,
-                        double aMemory,
-                        instant aNow) const
+placement_table::TimeUntilFits(service_runner_id aDecode,
+                               const generation_demand& aDemand,
+                               double aMemory,
+                               instant aNow) const
 {
-  for (const duration wait : kWaits) {
+  for (const duration wait : kProbedDelays) {
     if (Fits(aDecode, aDemand, aMemory, aNow + wait)) {
       return wait;
     }
   }
-  return kWaits.back() * 2;
+  return kProbedDelays.back() * 2;
 }
 
-placement_table::engine_sets
+placement_table::candidate_engines
 placement_table::UsableEngines(const generation_demand& aDemand,
                                const runner_table& aRunners,
                                instant aNow) const
 {
-  engine_sets sets;
+  candidate_engines sets;
   for (const auto& [id, runner] : aRunners.Rows()) {
-    const auto& barred = aDemand.mBarred;
+    const auto& barred = aDemand.mExcluded;
     const bool isBarred = std::find(barred.begin(), barred.end(), id) != barred.end();
     const bool usable = runner.mEntry.mService == aDemand.mService &&
                         aRunners.TakesWork(runner, aNow) && !isBarred &&
@@ -190,7 +190,7 @@
       sets.mReaders.push_back({ &runner,
                                 runner.mEntry.VersionOf(aDemand.mModel),
                                 ReadTime(id, aDemand.mPromptTokens, aNow),
-                                FailureMicros(runner, aDemand) });
+                                FailureCostMicros(runner, aDemand) });
     } else if (usable && runner.mEntry.mRole == engine_role::eDecode) {
       sets.mDecodes.push_back(&runner);
     }
@@ -202,31 +202,31 @@
 }
 
 void
-placement_table::KeepMostPromising(engine_sets& aSets,
+placement_table::KeepMostPromising(candidate_engines& aSets,
                                    const generation_demand& aDemand,
                                    const engine_traits& aTraits,
                                    instant aNow) const
 {
-  if (aSets.mDecodes.size() <= kMostLooks) {
+  if (aSets.mDecodes.size() <= kMaxComparedEngines) {
     return;
   }
   const double memory = static_cast<double>(std::max<std::uint64_t>(1, aTraits.mMemoryTokens));
   std::vector<std::pair<double, const runner_state*>> byCost;
   byCost.reserve(aSets.mDecodes.size());
   for (const runner_state* const decode : aSets.mDecodes) {
-    if (TakesNone(*decode, aTraits, aNow)) {
+    if (AcceptsNoRuns(*decode, aTraits, aNow)) {
       continue;
     }
     const auto runs = mByEngine.find(decode->mId);
-    const std::uint64_t promised = runs == mByEngine.end() ? 0 : runs->second.mPromised;
+    const std::uint64_t promised = runs == mByEngine.end() ? 0 : runs->second.mCommittedTokens;
     const double load = static_cast<double>(promised) / memory;
     byCost.emplace_back(BaseCost(*decode, aDemand, load), decode);
   }
   if (byCost.empty()) {
-    aSets.mDecodes.resize(kMostLooks); // They tell when there may be room.
+    aSets.mDecodes.resize(kMaxComparedEngines); // They tell when there may be room.
     return;
   }
-  const std::size_t looks = std::min(kMostLooks, byCost.size());
+  const std::size_t looks = std::min(kMaxComparedEngines, byCost.size());
   std::nth_element(
     byCost.begin(), byCost.begin() + static_cast<std::ptrdiff_t>(looks - 1), byCost.end());
   aSets.mDecodes.clear();
@@ -238,15 +238,15 @@
 double
 placement_table::MemoryFor(const generation_demand& aDemand, const engine_traits& aTraits) const
 {
-  const double size = SizeOf(aDemand.mPromptTokens, aDemand.mAnswerTokens);
-  const double reserve = mTuning.mLargeReserve * mSizes.PartLeft(size);
+  const double size = RequestSize(aDemand.mPromptTokens, aDemand.mAnswerTokens);
+  const double reserve = mTuning.mLargeReserve * mSizes.ReserveShareKept(size);
   return (mTuning.mMemoryShare - reserve) * static_cast<double>(aTraits.mMemoryTokens);
 }
 
 bool
-placement_table::TakesNone(const runner_state& aDecode,
-                           const engine_traits& aTraits,
-                           instant aNow) const
+placement_table::AcceptsNoRuns(const runner_state& aDecode,
+                               const engine_traits& aTraits,
+                               instant aNow) const
 {
   const auto known = mDecodes.find(aDecode.mId);
   if (known != mDecodes.end() && known->second.mFullUntil > aNow) {
@@ -273,14 +273,14 @@
                       double aMemory,
                       instant aFrom) const
 {
-  return ForecastOf(aDecode, aFrom).Fits(NewcomerOf(aDemand), CautionFor(aDemand), aMemory);
+  return ForecastOf(aDecode, aFrom).Fits(NewRun(aDemand), CautionFor(aDemand), aMemory);
 }
 
 duration
-placement_table::RoomIn(const runner_state& aDecode,
-                        const generation_demand& aDemand,
-                        const engine_traits& aTraits,
-                        instant aNow) const
+placement_table::TimeUntilRoom(const runner_state& aDecode,
+                               const generation_demand& aDemand,
+                               const engine_traits& aTraits,
+                               instant aNow) const
 {
   const auto known = mDecodes.find(aDecode.mId);
   const instant fullUntil = known == mDecodes.end() ? instant{ 0 } : known->second.mFullUntil;
@@ -289,23 +289,23 @@
     return wait;
   }
   const double memory = MemoryFor(aDemand, aTraits);
-  wait = std::max(wait, FitsIn(aDecode.mId, aDemand, memory, aNow));
-  return RunsOn(aDecode.mId).size() >= aTraits.mSlots ? std::max(wait, kWaits[1]) : wait;
+  wait = std::max(wait, TimeUntilFits(aDecode.mId, aDemand, memory, aNow));
+  return RunsOn(aDecode.mId).size() >= aTraits.mSlots ? std::max(wait, kProbedDelays[1]) : wait;
 }
 
 void
-placement_table::ConsiderReads(const runner_state& aDecode,
-                               const memory_forecast& aForecast,
-                               const generation_demand& aDemand,
-                               const engine_traits& aTraits,
-                               const engine_sets& aSets,
-                               instant aNow,
-                               best_place& aBest) const
+placement_table::CompareReadOptions(const runner_state& aDecode,
+                                    const memory_forecast& aForecast,
+                                    const generation_demand& aDemand,
+                                    const engine_traits& aTraits,
+                                    const candidate_engines& aSets,
+                                    instant aNow,
+                                    best_placement& aBest) const
 {
   const std::vector<const run_record*> runs = RunsOn(aDecode.mId);
   const double memory = static_cast<double>(std::max<std::uint64_t>(1, aTraits.mMemoryTokens));
-  const double peak = aForecast.Peak(NewcomerOf(aDemand), 0.0) / memory;
-  const double load = mTuning.mForecast ? peak : kRunWeight * static_cast<double>(runs.size());
+  const double peak = aForecast.Peak(NewRun(aDemand), 0.0) / memory;
+  const double load = mTuning.mForecast ? peak : kLoadPerRun * static_cast<double>(runs.size());
   const double event = aTraits.mTokensPerEvent * MicrosPerToken(aDecode.mId);
   const double base = BaseCost(aDecode, aDemand, load);
   const auto consider =
@@ -319,7 +319,7 @@
       }
     };
   const std::uint64_t version = aDecode.mEntry.VersionOf(aDemand.mModel);
-  for (const prompt_reader& reader : aSets.mReaders) {
+  for (const read_option& reader : aSets.mReaders) {
     if (base + reader.Cost() >= aBest.mCost) {
       break; // All that follow cost as much or more.
     }
@@ -327,18 +327,19 @@
       const bool sameHall = reader.mEngine->mEntry.mHall == aDecode.mEntry.mHall;
       consider(reader.mEngine->mId,
                reader.mRead,
-               reader.mFailureMicros + (sameHall ? 0.0 : kOtherHallMoveMicros));
+               reader.mFailureCostMicros + (sameHall ? 0.0 : kOtherHallTransferCostMicros));
     }
   }
-  const duration ownRead = OwnReadTime(aDemand.mPromptTokens);
+  const duration ownRead = DecodeReadTime(aDemand.mPromptTokens);
   // The engine's other runs pause while it reads, so it reads one prompt at a time, with rests.
   const bool reads = std::any_of(runs.begin(), runs.end(), [&](const run_record* aRun) {
-    return !aRun->mPrefill && aRun->mMadeTokens == 0 && aRun->mSeen + kDecodeReadRest > aNow;
+    return !aRun->mPrefill && aRun->mGeneratedTokens == 0 &&
+           aRun->mSeen + kDecodeReadInterval > aNow;
   });
   const bool mayRead = mTuning.mDecodeReads && !reads && FitsBetweenEvents(aDemand, event) &&
                        mPauses.Fit(aDemand.mEventGap, aNow);
   if (aSets.mReaders.empty() || mayRead) {
-    consider(std::nullopt, ownRead, aSets.mReaders.empty() ? 0.0 : kDecodeReadPenaltyMicros);
+    consider(std::nullopt, ownRead, aSets.mReaders.empty() ? 0.0 : kDecodeReadCostMicros);
   }
 }
 
@@ -349,24 +350,24 @@
                         instant aNow,
                         bool aWantsTime) const
 {
-  engine_sets sets = UsableEngines(aDemand, aRunners, aNow);
+  candidate_engines sets = UsableEngines(aDemand, aRunners, aNow);
   KeepMostPromising(sets, aDemand, aTraits, aNow);
   const double memory = MemoryFor(aDemand, aTraits);
   placement_answer answer;
   if (sets.mDecodes.empty()) {
-    answer.mFreeIn = kNoEngineRest;
+    answer.mFreeIn = kNoEngineRetryDelay;
     return answer;
   }
-  best_place best;
+  best_placement best;
   bool hasMemory = false;
   for (const runner_state* const decode : sets.mDecodes) {
-    if (TakesNone(*decode, aTraits, aNow)) {
+    if (AcceptsNoRuns(*decode, aTraits, aNow)) {
       continue;
     }
     const memory_forecast forecast = ForecastOf(decode->mId, aNow);
-    if (!mTuning.mForecast || forecast.Fits(NewcomerOf(aDemand), CautionFor(aDemand), memory)) {
+    if (!mTuning.mForecast || forecast.Fits(NewRun(aDemand), CautionFor(aDemand), memory)) {
       hasMemory = true;
-      ConsiderReads(*decode, forecast, aDemand, aTraits, sets, aNow, best);
+      CompareReadOptions(*decode, forecast, aDemand, aTraits, sets, aNow, best);
     }
   }
   answer.mChoice = best.mChoice;
@@ -374,11 +375,11 @@
     return answer;
   }
   answer.mReason = hasMemory ? no_place::eTooLate : no_place::eNoMemory;
-  answer.mFreeIn = kTooLateRest;
+  answer.mFreeIn = kTooLateRetryDelay;
   if (!hasMemory && aWantsTime) {
-    answer.mFreeIn = kWaits.back() * 2;
+    answer.mFreeIn = kProbedDelays.back() * 2;
     for (const runner_state* const decode : sets.mDecodes) {
-      answer.mFreeIn = std::min(answer.mFreeIn, RoomIn(*decode, aDemand, aTraits, aNow));
+      answer.mFreeIn = std::min(answer.mFreeIn, TimeUntilRoom(*decode, aDemand, aTraits, aNow));
     }
   }
   return answer;
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -86,56 +86,56 @@
   {
     double mMicrosPerToken = 800.0; ///< Time for a token of one run; a first guess until measured.
     instant mFullUntil{ 0 };        ///< It said that it has no room, and rests.
-    duration mFullRest{ 0 };        ///< Its last rest; zero once it has given a place.
+    duration mFullBackoff{ 0 };     ///< Its last rest; zero once it has given a place.
     instant mReadsUntil{ 0 };       ///< Expected end of its last read of a prompt.
   };
   /** The runs of an engine that generates. */
   struct engine_runs
   {
-    std::set<run_id> mRuns;      ///< Each is in the table of runs.
-    std::uint64_t mPromised = 0; ///< Tokens: their prompts, and their answers as guessed.
+    std::set<run_id> mRuns;             ///< Each is in the table of runs.
+    std::uint64_t mCommittedTokens = 0; ///< Tokens: their prompts, and their answers as guessed.
   };
   /** All work that an engine was given, see engine_load. */
-  struct asked_work
+  struct assigned_work
   {
     double mReadTokens = 0.0; ///< Of prompts.
     double mHeldTokens = 0.0; ///< Of runs.
   };
   /** An engine that could read a demand's prompt. */
-  struct prompt_reader
+  struct read_option
   {
     const runner_state* mEngine = nullptr; ///< The engine.
     std::uint64_t mVersion = 0;            ///< Of its weights.
     duration mRead{ 0 };                   ///< Expected time until it has read the prompt.
-    double mFailureMicros = 0.0;           ///< What its failures weigh, as waiting.
+    double mFailureCostMicros = 0.0;       ///< What its failures weigh, as waiting.
 
-    double Cost() const { return static_cast<double>(mRead.count()) + mFailureMicros; }
+    double Cost() const { return static_cast<double>(mRead.count()) + mFailureCostMicros; }
   };
   /** Engines that may be given a demand. */
-  struct engine_sets
+  struct candidate_engines
   {
-    std::vector<prompt_reader> mReaders;       ///< They read prompts; the cheapest first.
+    std::vector<read_option> mReaders;         ///< They read prompts; the cheapest first.
     std::vector<const runner_state*> mDecodes; ///< They generate.
   };
   /** The best place so far. */
-  struct best_place
+  struct best_placement
   {
     double mCost = std::numeric_limits<double>::max(); ///< In microseconds of waiting.
     std::optional<placement_choice> mChoice;           ///< None yet.
   };
 
-  engine_sets UsableEngines(const generation_demand& aDemand,
-                            const runner_table& aRunners,
-                            instant aNow) const;
+  candidate_engines UsableEngines(const generation_demand& aDemand,
+                                  const runner_table& aRunners,
+                                  instant aNow) const;
   /** @return the memory that a demand may fill: large ones leave some to smaller ones. */
   double MemoryFor(const generation_demand& aDemand, const engine_traits& aTraits) const;
   /** Keeps the decode engines that are worth a look, if there are very many. */
-  void KeepMostPromising(engine_sets& aSets,
+  void KeepMostPromising(candidate_engines& aSets,
                          const generation_demand& aDemand,
                          const engine_traits& aTraits,
                          instant aNow) const;
   /** @return whether the engine takes no run now, whatever the run's size. */
-  bool TakesNone(const runner_state& aDecode, const engine_traits& aTraits, instant aNow) const;
+  bool AcceptsNoRuns(const runner_state& aDecode, const engine_traits& aTraits, instant aNow) const;
   /** @return spreads that the forecast adds for a demand. */
   double CautionFor(const generation_demand& aDemand) const;
   /** @return whether the demand fits into an engine's memory from @p aFrom on. */
@@ -144,24 +144,24 @@
             double aMemory,
             instant aFrom) const;
   /** @return how long until the engine has room for the demand, zero if it has. */
-  duration RoomIn(const runner_state& aDecode,
-                  const generation_demand& aDemand,
-                  const engine_traits& aTraits,
-                  instant aNow) const;
+  duration TimeUntilRoom(const runner_state& aDecode,
+                         const generation_demand& aDemand,
+                         const engine_traits& aTraits,
+                         instant aNow) const;
   /** Compares the ways in which the prompt could be read for a decode engine. */
-  void ConsiderReads(const runner_state& aDecode,
-                     const memory_forecast& aForecast,
-                     const generation_demand& aDemand,
-                     const engine_traits& aTraits,
-                     const engine_sets& aSets,
-                     instant aNow,
-                     best_place& aBest) const;
+  void CompareReadOptions(const runner_state& aDecode,
+                          const memory_forecast& aForecast,
+                          const generation_demand& aDemand,
+                          const engine_traits& aTraits,
+                          const candidate_engines& aSets,
+                          instant aNow,
+                          best_placement& aBest) const;
   double MicrosPerToken(service_runner_id aDecode) const;
   /** @return when a run has most likely ended. */
-  instant EndOf(const run_record& aRun) const;
+  instant ExpectedEnd(const run_record& aRun) const;
   std::vector<const run_record*> RunsOn(service_runner_id aDecode) const;
   /** Notes what a run that is new here gives its engines to do. */
-  void NoteWork(const run_record& aRun, instant aNow);
+  void AddAssignedWork(const run_record& aRun, instant aNow);
   /** Takes a read that was never done out of an engine's queue. */
   void DropRead(const run_record& aRun);
   /** Takes a run out of both tables. */
@@ -181,28 +181,28 @@
   /** @return the forecast of an engine from @p aFrom on. */
   memory_forecast ForecastOf(service_runner_id aDecode, instant aFrom) const;
   /** @return tokens a microsecond that an engine reads of which nothing was seen. */
-  double ReadSpeed() const { return mReadSpeed.Or(kGuessedReadSpeed); }
+  double ReadSpeed() const { return mReadSpeed.Or(kDefaultTokensPerMicro); }
   /** @return an engine's queue of reads; a new one takes its speed from the others. */
   prompt_queue& QueueOf(service_runner_id aPrefill);
   /** @return expected time until the prompt is read by an engine. */
   duration ReadTime(service_runner_id aPrefill, std::uint32_t aTokens, instant aNow) const;
   /** @return expected time in which a decode engine reads a prompt between its runs' tokens. */
-  duration OwnReadTime(std::uint32_t aTokens) const;
+  duration DecodeReadTime(std::uint32_t aTokens) const;
   /** @return how long until the demand fits into an engine's memory; the longest if it doesn't. */
-  duration FitsIn(service_runner_id aDecode,
-                  const generation_demand& aDemand,
-                  double aMemory,
-                  instant aNow) const;
+  duration TimeUntilFits(service_runner_id aDecode,
+                         const generation_demand& aDemand,
+                         double aMemory,
+                         instant aNow) const;
 
   placement_tuning mTuning;                     ///< Knobs.
   std::unordered_map<run_id, run_record> mRuns; ///< All runs known.
   /** Runs by the engine that generates; each run of mRuns once. */
   std::unordered_map<service_runner_id, engine_runs> mByEngine;
-  std::unordered_map<service_runner_id, decode_state> mDecodes;  ///< By engine.
-  std::unordered_map<service_runner_id, prompt_queue> mPrefills; ///< By engine.
-  std::unordered_map<service_runner_id, asked_work> mAsked;      ///< By engine.
-  size_balance mSizes;                                           ///< Large and small requests.
-  guess_model mGuesses;                                          ///< Of the answers' length.
+  std::unordered_map<service_runner_id, decode_state> mDecodes;       ///< By engine.
+  std::unordered_map<service_runner_id, prompt_queue> mPrefills;      ///< By engine.
+  std::unordered_map<service_runner_id, assigned_work> mAssignedWork; ///< By engine.
+  size_balance mSizes;                                                ///< Large and small requests.
+  answer_length_model mGuesses;                                       ///< Of the answers' length.
   learned_mean mReadSpeed; ///< Tokens a microsecond that engines read: of one that hasn't yet.
   learned_mean mPace;      ///< Microseconds for a token of a run, over all engines.
   reading_pauses mPauses;  ///< Of runs beside which their engine read a prompt.
--- a/src/placement/placement_func.h
+++ b/src/placement/placement_func.h
@@ -16,7 +16,7 @@
 
 /** @return what a run takes of memory over its time, in tokens squared. */
 inline double
-SizeOf(std::uint32_t aPrompt, std::uint32_t aAnswer)
+RequestSize(std::uint32_t aPrompt, std::uint32_t aAnswer)
 {
   const double answer = aAnswer;
   return answer * (aPrompt + answer / 2.0);
@@ -24,7 +24,7 @@
 
 /** @return what a run holds at its end, if its answer is as long as guessed. */
 inline std::uint64_t
-PromisedTokens(const run_record& aRun)
+CommittedTokens(const run_record& aRun)
 {
   return std::uint64_t{ aRun.mPromptTokens } + aRun.mAnswerTokens;
 }
--- a/src/placement/placement_queue.cpp
+++ b/src/placement/placement_queue.cpp
@@ -9,7 +9,7 @@
 namespace dunehook {
 
 place_reply
-placement_queue::Take(const place_question& aQuestion,
+placement_queue::Take(const place_request& aQuestion,
                       std::uint64_t aDaemon,
                       const endpoint& aFrom,
                       instant aNow)
@@ -19,7 +19,7 @@
   generation_demand& demand = question.mQuestion.mDemand;
   demand.mReturned = demand.mReturned || mRefused.Contains(aQuestion.mPromptKey, aNow);
   const duration most = aQuestion.mWait.Of(demand.mReturned);
-  question.mWaitsFor = WillBeServed(question, most, aNow) ? most : duration{ 0 };
+  question.mWaitsFor = ExpectsPlaceWithin(question, most, aNow) ? most : duration{ 0 };
   // Tried at once, also while others wait: what they found too small for them may do for a smaller
   // one. What comes free is offered to those that wait within one tick.
   const bool waits = question.mWaitsFor > duration{ 0 };
@@ -34,12 +34,14 @@
 }
 
 bool
-placement_queue::WillBeServed(const waiting_question& aQuestion, duration aWait, instant aNow) const
+placement_queue::ExpectsPlaceWithin(const waiting_question& aQuestion,
+                                    duration aWait,
+                                    instant aNow) const
 {
   const auto last = std::upper_bound(mWaiting.begin(), mWaiting.end(), aQuestion, GoesBefore);
   const auto ahead = static_cast<double>(last - mWaiting.begin());
   const double given = mPlaced.PerSecond(aNow) * ToSeconds(aWait);
-  return ahead < std::max(kLeastServed, kSureShare * given);
+  return ahead < std::max(kMinQueueAllowance, kExpectedPlacesShare * given);
 }
 
 bool
@@ -51,15 +53,15 @@
   return !aOne.mQuestion.mDemand.mReturned && aTwo.mQuestion.mDemand.mReturned;
 }
 
-std::vector<placed_reply>
+std::vector<addressed_reply>
 placement_queue::Tick(instant aNow)
 {
-  std::vector<placed_reply> replies;
+  std::vector<addressed_reply> replies;
   std::vector<waiting_question> left;
   std::size_t tries = 0;
   for (waiting_question& one : mWaiting) {
     const bool over = aNow - one.mAsked >= one.mWaitsFor;
-    if (!over && tries >= kMostTriesOnTick) {
+    if (!over && tries >= kMaxAttemptsPerTick) {
       left.push_back(std::move(one));
       continue;
     }
@@ -85,7 +87,7 @@
 place_reply
 placement_queue::Try(const waiting_question& aWaiting, instant aNow, bool aLast)
 {
-  const place_question& question = aWaiting.mQuestion;
+  const place_request& question = aWaiting.mQuestion;
   generation_demand demand = question.mDemand;
   place_reply reply;
   reply.mRun = demand.mRun;
@@ -98,7 +100,7 @@
   // waiting.
   demand.mFirstEventWithin -= demand.mReturned ? duration{ 0 } : aNow - aWaiting.mAsked;
   reply.mReturned = demand.mReturned;
-  demand.mWaited = PartOver(aNow - aWaiting.mAsked, aWaiting.mWaitsFor);
+  demand.mWaited = WaitedShare(aNow - aWaiting.mAsked, aWaiting.mWaitsFor);
   const placement_answer answer = mPlacement.Choose(demand, *traits, mRunners, aNow, aLast);
   if (!answer.mChoice) {
     reply.mState = place_state::eNone;
--- a/src/placement/placement_queue.h
+++ b/src/placement/placement_queue.h
@@ -19,17 +19,17 @@
 
 /** Tries for questions that wait, on one tick, so that those that come in a peak aren't kept
  * waiting behind them. */
-inline constexpr std::size_t kMostTriesOnTick = 6;
+inline constexpr std::size_t kMaxAttemptsPerTick = 6;
 
 /** A question waits only where this part of the places that are given meanwhile, at the rate of
  * late, is enough for it and all before it: else it's refused at once, since it would wait in
  * vain. */
-inline constexpr double kSureShare = 0.8;
+inline constexpr double kExpectedPlacesShare = 0.8;
 /** So many may wait however few places were given lately: at a start none were. */
-inline constexpr double kLeastServed = 8.0;
+inline constexpr double kMinQueueAllowance = 8.0;
 
 /** An answer and whom it's for. */
-struct placed_reply
+struct addressed_reply
 {
   endpoint mTo;       ///< The asker.
   place_reply mReply; ///< The answer.
@@ -58,13 +58,13 @@
    * @param aDaemon the asker in the table of runs; 0 is this daemon.
    * @return the answer: also that it waits.
    */
-  place_reply Take(const place_question& aQuestion,
+  place_reply Take(const place_request& aQuestion,
                    std::uint64_t aDaemon,
                    const endpoint& aFrom,
                    instant aNow);
   /** Tries for those that wait, and answers those whose time is over. Call it some times a tenth of
    * a second while there are any. */
-  std::vector<placed_reply> Tick(instant aNow);
+  std::vector<addressed_reply> Tick(instant aNow);
   /** Forgets a question: its caller has left. */
   void Withdraw(run_id aRun);
   /** @return questions that wait. */
@@ -74,7 +74,7 @@
   /** A question that waits. */
   struct waiting_question
   {
-    place_question mQuestion;  ///< As it was asked.
+    place_request mQuestion;   ///< As it was asked.
     std::uint64_t mDaemon = 0; ///< The asker in the table of runs.
     endpoint mFrom;            ///< The asker's address.
     instant mAsked{ 0 };       ///< When it came.
@@ -83,7 +83,7 @@
 
   /** @return whether a question gets a place within @p aWait if places are given as fast as lately.
    */
-  bool WillBeServed(const waiting_question& aQuestion, duration aWait, instant aNow) const;
+  bool ExpectsPlaceWithin(const waiting_question& aQuestion, duration aWait, instant aNow) const;
   /** The order of those that wait: the most urgent first, then those that can still be in time. */
   static bool GoesBefore(const waiting_question& aOne, const waiting_question& aTwo);
 
--- a/src/placement/placement_runs.cpp
+++ b/src/placement/placement_runs.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 /** A run has most likely ended at this many times its guess, or of what it has made. */
-constexpr double kLikelyEnd = 2.5;
-constexpr double kOverrun = 1.3;
+constexpr double kEstimateOverrunFactor = 2.5;
+constexpr double kGeneratedOverrunFactor = 1.3;
 /** Runs of others are dropped this long after their expected end if nobody said that they ended. */
-constexpr duration kForgetAfter = std::chrono::milliseconds(2500);
+constexpr duration kOverdueRunTimeout = std::chrono::milliseconds(2500);
 /** Weight of the newest measurement of a pace. */
 constexpr double kPaceWeight = 0.1;
 
@@ -30,11 +30,12 @@
 }
 
 instant
-placement_table::EndOf(const run_record& aRun) const
+placement_table::ExpectedEnd(const run_record& aRun) const
 {
-  const double likely = std::max(kLikelyEnd * aRun.mAnswerTokens, kOverrun * aRun.mMadeTokens);
+  const double likely = std::max(kEstimateOverrunFactor * aRun.mAnswerTokens,
+                                 kGeneratedOverrunFactor * aRun.mGeneratedTokens);
   const double most = aRun.mMostTokens > 0 ? aRun.mMostTokens : likely;
-  const double remaining = std::max(0.0, std::min(most, likely) - aRun.mMadeTokens);
+  const double remaining = std::max(0.0, std::min(most, likely) - aRun.mGeneratedTokens);
   return aRun.mSeen + FromMicros(remaining * MicrosPerToken(aRun.mDecode));
 }
 
@@ -61,7 +62,7 @@
   }
   const auto place = mByEngine.find(found->second.mDecode);
   place->second.mRuns.erase(aRun);
-  place->second.mPromised -= PromisedTokens(found->second);
+  place->second.mCommittedTokens -= CommittedTokens(found->second);
   if (place->second.mRuns.empty()) {
     mByEngine.erase(place);
   }
@@ -76,33 +77,33 @@
   mRuns.emplace(aRun.mRun, aRun);
   engine_runs& engine = mByEngine[aRun.mDecode];
   engine.mRuns.insert(aRun.mRun);
-  engine.mPromised += PromisedTokens(aRun);
+  engine.mCommittedTokens += CommittedTokens(aRun);
   if (fresh) {
-    mSizes.Note(SizeOf(aRun.mPromptTokens, aRun.mAnswerTokens), true);
+    mSizes.Note(RequestSize(aRun.mPromptTokens, aRun.mAnswerTokens), true);
   }
   if (fresh) {
-    NoteWork(aRun, aNow);
+    AddAssignedWork(aRun, aNow);
   }
 }
 
 void
-placement_table::NoteWork(const run_record& aRun, instant aNow)
+placement_table::AddAssignedWork(const run_record& aRun, instant aNow)
 {
   const double answer = mGuesses.MeanOf(aRun.mAnswerTokens);
-  mAsked[aRun.mDecode].mHeldTokens += answer * (aRun.mPromptTokens + answer / 2.0);
+  mAssignedWork[aRun.mDecode].mHeldTokens += answer * (aRun.mPromptTokens + answer / 2.0);
   const service_runner_id reader = aRun.mPrefill ? aRun.mPrefill : aRun.mDecode;
-  mAsked[reader].mReadTokens += aRun.mPromptTokens;
+  mAssignedWork[reader].mReadTokens += aRun.mPromptTokens;
   if (aRun.mPrefill) {
     QueueOf(aRun.mPrefill).Add(aRun.mRun, aRun.mPromptTokens, aNow);
   } else {
-    mDecodes[aRun.mDecode].mReadsUntil = aNow + OwnReadTime(aRun.mPromptTokens);
+    mDecodes[aRun.mDecode].mReadsUntil = aNow + DecodeReadTime(aRun.mPromptTokens);
   }
 }
 
 void
 placement_table::NoteRefused(std::uint32_t aPromptTokens, std::uint32_t aAnswerTokens)
 {
-  mSizes.Note(SizeOf(aPromptTokens, aAnswerTokens), false);
+  mSizes.Note(RequestSize(aPromptTokens, aAnswerTokens), false);
 }
 
 void
@@ -110,7 +111,7 @@
 {
   const auto found = mRuns.find(aRun);
   if (found != mRuns.end()) {
-    found->second.mMadeTokens = aMadeTokens;
+    found->second.mGeneratedTokens = aMadeTokens;
     found->second.mSeen = aNow;
   }
 }
@@ -151,10 +152,10 @@
   }
   const run_record& run = found->second;
   mGuesses.Learn(run.mAnswerTokens, aRun.mTokens);
-  if (aRun.mPaced == 0) {
+  if (aRun.mPacedTokens == 0) {
     return;
   }
-  const double pace = Micros(aRun.mTook) / aRun.mPaced;
+  const double pace = Micros(aRun.mTook) / aRun.mPacedTokens;
   decode_state& state = mDecodes[run.mDecode];
   state.mMicrosPerToken += kPaceWeight * (pace - state.mMicrosPerToken);
   mPace.Learn(pace);
@@ -171,14 +172,14 @@
   if (aNow < state.mFullUntil) {
     return;
   }
-  state.mFullRest = std::clamp(state.mFullRest * 2, kFullRest, kLongestFullRest);
-  state.mFullUntil = aNow + state.mFullRest;
+  state.mFullBackoff = std::clamp(state.mFullBackoff * 2, kMinFullBackoff, kMaxFullBackoff);
+  state.mFullUntil = aNow + state.mFullBackoff;
 }
 
 void
 placement_table::NoteRoom(service_runner_id aDecode)
 {
-  mDecodes[aDecode].mFullRest = duration{ 0 };
+  mDecodes[aDecode].mFullBackoff = duration{ 0 };
 }
 
 void
@@ -201,12 +202,13 @@
 placement_table::Prune(const runner_table& aRunners, instant aNow)
 {
   EraseIf([&](const run_record& aRun) {
-    const bool overdue = aRun.mDaemon != 0 && EndOf(aRun) + kForgetAfter < aNow;
+    const bool overdue = aRun.mDaemon != 0 && ExpectedEnd(aRun) + kOverdueRunTimeout < aNow;
     return overdue || (aRun.mDaemon != 0 && aRunners.Find(aRun.mDecode) == nullptr);
   });
   std::erase_if(mDecodes, [&](const auto& aRow) { return aRunners.Find(aRow.first) == nullptr; });
   std::erase_if(mPrefills, [&](const auto& aRow) { return aRunners.Find(aRow.first) == nullptr; });
-  std::erase_if(mAsked, [&](const auto& aRow) { return aRunners.Find(aRow.first) == nullptr; });
+  std::erase_if(mAssignedWork,
+                [&](const auto& aRow) { return aRunners.Find(aRow.first) == nullptr; });
 }
 
 std::vector<run_record>
@@ -228,7 +230,7 @@
   for (const auto& [id, engine] : mByEngine) {
     work.mLoads[id].mRuns = engine.mRuns.size();
   }
-  for (const auto& [id, asked] : mAsked) {
+  for (const auto& [id, asked] : mAssignedWork) {
     work.mLoads[id].mReadTokens = asked.mReadTokens;
     work.mLoads[id].mHeldTokens = asked.mHeldTokens;
   }
--- a/src/placement/placement_type.h
+++ b/src/placement/placement_type.h
@@ -16,10 +16,10 @@
 
 /** An engine that had no room isn't given work again before this: about the time in which a run of
  * some ends. */
-inline constexpr duration kFullRest = std::chrono::milliseconds(60);
+inline constexpr duration kMinFullBackoff = std::chrono::milliseconds(60);
 /** The rest doubles with each refusal after a rest, up to this: an engine that goes on refusing
  * holds more than anybody has told of, and a run takes some seconds to end. */
-inline constexpr duration kLongestFullRest = std::chrono::milliseconds(960);
+inline constexpr duration kMaxFullBackoff = std::chrono::milliseconds(960);
 
 /** Knobs of placement; the defaults are those of the settings. */
 struct placement_tuning
@@ -54,15 +54,15 @@
 /** A generation that wants a place. */
 struct generation_demand
 {
-  run_id mRun;                            ///< Its id.
-  std::string mService;                   ///< Service that takes it.
-  std::string mModel;                     ///< Model wanted; empty if any.
-  std::string mHall;                      ///< Data hall of this daemon.
-  std::uint32_t mPromptTokens = 0;        ///< Length of the prompt.
-  std::uint32_t mAnswerTokens = 0;        ///< Guessed length of the answer.
-  std::uint32_t mMostTokens = 0;          ///< Most tokens of the answer; 0 if unknown.
-  std::vector<service_runner_id> mFailed; ///< Engines that failed this request already.
-  std::vector<service_runner_id> mBarred; ///< Engines that its daemon may send nothing to.
+  run_id mRun;                              ///< Its id.
+  std::string mService;                     ///< Service that takes it.
+  std::string mModel;                       ///< Model wanted; empty if any.
+  std::string mHall;                        ///< Data hall of this daemon.
+  std::uint32_t mPromptTokens = 0;          ///< Length of the prompt.
+  std::uint32_t mAnswerTokens = 0;          ///< Guessed length of the answer.
+  std::uint32_t mMostTokens = 0;            ///< Most tokens of the answer; 0 if unknown.
+  std::vector<service_runner_id> mFailed;   ///< Engines that failed this request already.
+  std::vector<service_runner_id> mExcluded; ///< Engines that its daemon may send nothing to.
   bool mReturned = false;  ///< Its caller has come back: it was refused, or its stream broke.
   double mWaited = 1.0;    ///< Part of its wait that is over, if it was refused.
   duration mEventGap{ 0 }; ///< Longest pause between events that is in time.
@@ -111,15 +111,15 @@
 /** A generation under way, as daemons tell each other. */
 struct run_record
 {
-  run_id mRun;                     ///< Its id.
-  service_runner_id mDecode;       ///< Engine that generates.
-  service_runner_id mPrefill;      ///< Engine that reads the prompt; none if the decode engine.
-  std::uint32_t mPromptTokens = 0; ///< Length of the prompt.
-  std::uint32_t mAnswerTokens = 0; ///< Guessed length of the answer.
-  std::uint32_t mMostTokens = 0;   ///< Most tokens of the answer; 0 if unknown.
-  std::uint32_t mMadeTokens = 0;   ///< Tokens made by mSeen.
-  instant mSeen{ 0 };              ///< When mMadeTokens was right; ahead if not started yet.
-  std::uint64_t mDaemon = 0;       ///< Daemon that placed it; 0 is this one.
+  run_id mRun;                        ///< Its id.
+  service_runner_id mDecode;          ///< Engine that generates.
+  service_runner_id mPrefill;         ///< Engine that reads the prompt; none if the decode engine.
+  std::uint32_t mPromptTokens = 0;    ///< Length of the prompt.
+  std::uint32_t mAnswerTokens = 0;    ///< Guessed length of the answer.
+  std::uint32_t mMostTokens = 0;      ///< Most tokens of the answer; 0 if unknown.
+  std::uint32_t mGeneratedTokens = 0; ///< Tokens made by mSeen.
+  instant mSeen{ 0 };        ///< When mGeneratedTokens was right; ahead if not started yet.
+  std::uint64_t mDaemon = 0; ///< Daemon that placed it; 0 is this one.
 
   auto operator<=>(const run_record&) const = default;
 };
@@ -155,11 +155,11 @@
 /** A run that ended well. */
 struct finished_run
 {
-  run_id mRun;               ///< Its id.
-  std::uint32_t mTokens = 0; ///< Tokens that it made.
-  std::uint32_t mPaced = 0;  ///< Tokens after its first event.
-  duration mTook{ 0 };       ///< Time that those took.
-  duration mLongestGap{ 0 }; ///< Longest pause between its events.
+  run_id mRun;                    ///< Its id.
+  std::uint32_t mTokens = 0;      ///< Tokens that it made.
+  std::uint32_t mPacedTokens = 0; ///< Tokens after its first event.
+  duration mTook{ 0 };            ///< Time that those took.
+  duration mLongestGap{ 0 };      ///< Longest pause between its events.
 
   auto operator<=>(const finished_run&) const = default;
 };
--- a/src/placement/prompt_queue.cpp
+++ b/src/placement/prompt_queue.cpp
@@ -14,12 +14,12 @@
 constexpr double kEarlierWeight = 0.9;
 /** A read is taken in as at most so many times quicker or slower than those before it: an engine
  * that stood still hasn't become slow. */
-constexpr double kMostChange = 4.0;
+constexpr double kMaxSpeedChange = 4.0;
 /** Speeds that are believed, in tokens a microsecond. */
-constexpr double kLeastSpeed = 0.002;
-constexpr double kMostSpeed = 1.0;
+constexpr double kMinTokensPerMicro = 0.002;
+constexpr double kMaxTokensPerMicro = 1.0;
 /** A read that nobody has told the end of is over after this. */
-constexpr duration kReadForgotten = std::chrono::seconds(3);
+constexpr duration kPendingReadTimeout = std::chrono::seconds(3);
 
 } // namespace
 
@@ -27,8 +27,8 @@
 read_speed::Learn(double aTokens, duration aBusy)
 {
   const double speed = TokensPerMicro();
-  const double slowest = aTokens / std::max(kLeastSpeed, speed / kMostChange);
-  const double quickest = aTokens / std::min(kMostSpeed, speed * kMostChange);
+  const double slowest = aTokens / std::max(kMinTokensPerMicro, speed / kMaxSpeedChange);
+  const double quickest = aTokens / std::min(kMaxTokensPerMicro, speed * kMaxSpeedChange);
   const double micros = std::clamp(static_cast<double>(aBusy.count()), quickest, slowest);
   mTokens = mTokens * kEarlierWeight + aTokens;
   mMicros = mMicros * kEarlierWeight + micros;
@@ -61,7 +61,7 @@
   // What is left of the queue begins now. Moving its end by how late the read was would count one
   // delay once for each read that waited behind it.
   std::erase_if(mPending, [&](const pending_read& aRead) {
-    return aRead.mRun == aRun || aNow - aRead.mSince > kReadForgotten;
+    return aRead.mRun == aRun || aNow - aRead.mSince > kPendingReadTimeout;
   });
   double tokens = 0.0;
   for (const pending_read& left : mPending) {
--- a/src/placement/prompt_queue.h
+++ b/src/placement/prompt_queue.h
@@ -16,14 +16,14 @@
 using run_id = strong_id<run_tag>;
 
 /** Reading speed of an engine of which nothing was seen, in tokens a microsecond. */
-inline constexpr double kGuessedReadSpeed = 0.05;
+inline constexpr double kDefaultTokensPerMicro = 0.05;
 
 /** How quickly an engine reads. Each read that ends counts for more than the one before it. */
 class read_speed
 {
 public:
   /** @param aGuess tokens a microsecond, until reads are seen. */
-  explicit read_speed(double aGuess = kGuessedReadSpeed)
+  explicit read_speed(double aGuess = kDefaultTokensPerMicro)
     : mTokens(kGuessTokens)
     , mMicros(kGuessTokens / aGuess)
   {
@@ -47,7 +47,7 @@
 {
 public:
   /** @param aGuess of the engine's speed, in tokens a microsecond. */
-  explicit prompt_queue(double aGuess = kGuessedReadSpeed)
+  explicit prompt_queue(double aGuess = kDefaultTokensPerMicro)
     : mSpeed(aGuess)
   {
   }
--- a/src/placement/reading_pauses.cpp
+++ b/src/placement/reading_pauses.cpp
@@ -14,32 +14,32 @@
 /** Weight of the newest run. */
 constexpr double kWeight = 0.1;
 /** Runs that are needed before their pauses count: one may have paused for another reason. */
-constexpr int kLeastSeen = 3;
+constexpr int kMinRuns = 3;
 /** Part of the longest pause in time that runs may come to: the rest is for the way to the caller.
  */
-constexpr double kPausePart = 0.85;
+constexpr double kMaxPauseShare = 0.85;
 /** A run that paused for so many times the mean was held up by something else, and counts for less.
  */
-constexpr double kMostTimes = 1.5;
+constexpr double kMaxPauseFactor = 1.5;
 /** Without reads nothing is learned; after this they're tried again. */
-constexpr duration kKeep = std::chrono::seconds(20);
+constexpr duration kRetention = std::chrono::seconds(20);
 
 } // namespace
 
 void
 reading_pauses::Learn(duration aLongest, instant aNow)
 {
-  const bool isFirst = mSeen == 0 || aNow - mLearned >= kKeep;
-  mSeen = isFirst ? 1 : mSeen + 1;
-  mLearned = aNow;
+  const bool isFirst = mRunCount == 0 || aNow - mLastLearned >= kRetention;
+  mRunCount = isFirst ? 1 : mRunCount + 1;
+  mLastLearned = aNow;
   const auto told = static_cast<double>(aLongest.count());
   if (isFirst) {
     mMean = told;
     mDeviation = 0.0;
     return;
   }
-  const double pause = std::min(told, kMostTimes * mMean);
-  const double weight = std::max(kWeight, 1.0 / mSeen);
+  const double pause = std::min(told, kMaxPauseFactor * mMean);
+  const double weight = std::max(kWeight, 1.0 / mRunCount);
   mDeviation += weight * (std::abs(pause - mMean) - mDeviation);
   mMean += weight * (pause - mMean);
 }
@@ -47,10 +47,10 @@
 bool
 reading_pauses::Fit(duration aAllowed, instant aNow) const
 {
-  if (mSeen < kLeastSeen || aNow - mLearned >= kKeep) {
+  if (mRunCount < kMinRuns || aNow - mLastLearned >= kRetention) {
     return true;
   }
-  return mMean + mDeviation < kPausePart * static_cast<double>(aAllowed.count());
+  return mMean + mDeviation < kMaxPauseShare * static_cast<double>(aAllowed.count());
 }
 
 } // namespace dunehook
--- a/src/placement/reading_pauses.h
+++ b/src/placement/reading_pauses.h
@@ -21,10 +21,10 @@
   bool Fit(duration aAllowed, instant aNow) const;
 
 private:
-  double mMean = 0.0;      ///< Of the longest pauses, in microseconds.
-  double mDeviation = 0.0; ///< Their mean distance from it, in microseconds.
-  int mSeen = 0;           ///< Runs taken in since there was nothing to go by.
-  instant mLearned{ 0 };   ///< When the last was taken in.
+  double mMean = 0.0;        ///< Of the longest pauses, in microseconds.
+  double mDeviation = 0.0;   ///< Their mean distance from it, in microseconds.
+  int mRunCount = 0;         ///< Runs taken in since there was nothing to go by.
+  instant mLastLearned{ 0 }; ///< When the last was taken in.
 };
 
 } // namespace dunehook
--- a/src/placement/refused_table.h
+++ b/src/placement/refused_table.h
@@ -27,17 +27,17 @@
   bool Contains(std::uint64_t aKey, instant aNow) const
   {
     const auto found = mRefused.find(aKey);
-    return found != mRefused.end() && aNow - found->second < kKeep;
+    return found != mRefused.end() && aNow - found->second < kRetention;
   }
   /** Forgets old refusals; call it now and then. */
   void Prune(instant aNow)
   {
-    std::erase_if(mRefused, [&](const auto& aRow) { return aNow - aRow.second >= kKeep; });
+    std::erase_if(mRefused, [&](const auto& aRow) { return aNow - aRow.second >= kRetention; });
   }
 
 private:
   /** Callers come back within a third of the time that they have left. */
-  static constexpr duration kKeep = std::chrono::seconds(8);
+  static constexpr duration kRetention = std::chrono::seconds(8);
 
   std::unordered_map<std::uint64_t, instant> mRefused; ///< When, by key.
 };
--- a/src/placement/retry_budget.h
+++ b/src/placement/retry_budget.h
@@ -27,15 +27,21 @@
    */
   retry_budget(const retry_limits& aLimits, double aDaemons)
     : mLimits(aLimits)
-    , mFixed(RateFor(aDaemons), BurstFor(aDaemons))
+    , mAllowanceBucket(RateFor(aDaemons), BurstFor(aDaemons))
   {
   }
 
   /** Sets how many daemons share the limits. */
-  void SetDaemons(double aDaemons) { mFixed.Reshape(RateFor(aDaemons), BurstFor(aDaemons)); }
+  void SetDaemons(double aDaemons)
+  {
+    mAllowanceBucket.Reshape(RateFor(aDaemons), BurstFor(aDaemons));
+  }
 
   /** Notes a request's first send. */
-  void NoteRequest() { mEarned = std::min(mEarned + kCaution * mLimits.mShare, kMostEarned); }
+  void NoteRequest()
+  {
+    mEarnedRepeats = std::min(mEarnedRepeats + kUsedLimitShare * mLimits.mShare, kMaxEarnedRepeats);
+  }
 
   /**
    * @param aSends sends to be made beyond those that the request may make anyway.
@@ -43,31 +49,31 @@
    */
   bool Take(instant aNow, double aSends = 1.0)
   {
-    if (mEarned >= aSends) {
-      mEarned -= aSends;
+    if (mEarnedRepeats >= aSends) {
+      mEarnedRepeats -= aSends;
       return true;
     }
-    return mFixed.Take(aNow, aSends);
+    return mAllowanceBucket.Take(aNow, aSends);
   }
 
 private:
   /** Part of the limits used, since windows of daemons and service don't agree. */
-  static constexpr double kCaution = 0.7;
+  static constexpr double kUsedLimitShare = 0.7;
   /** Most repeats saved up from the share; more would be spent after the window that earned them.
    */
-  static constexpr double kMostEarned = 10.0;
+  static constexpr double kMaxEarnedRepeats = 10.0;
 
   /** @return a daemon's part of half the allowance, spread over the window. */
   double RateFor(double aDaemons) const { return BurstFor(aDaemons) / ToSeconds(mLimits.mWindow); }
   /** @return a daemon's part of half the allowance, to be taken at once. */
   double BurstFor(double aDaemons) const
   {
-    return kCaution * mLimits.mAllowance / std::max(1.0, aDaemons) / 2.0;
+    return kUsedLimitShare * mLimits.mAllowance / std::max(1.0, aDaemons) / 2.0;
   }
 
-  retry_limits mLimits; ///< Of all daemons together.
-  double mEarned = 0.0; ///< Repeats saved up; within 0 and kMostEarned.
-  token_bucket mFixed;  ///< Part of the allowance: half at once, half over the window.
+  retry_limits mLimits;          ///< Of all daemons together.
+  double mEarnedRepeats = 0.0;   ///< Repeats saved up; within 0 and kMaxEarnedRepeats.
+  token_bucket mAllowanceBucket; ///< Part of the allowance: half at once, half over the window.
 };
 
 } // namespace dunehook
--- a/src/placement/return_plan.h
+++ b/src/placement/return_plan.h
@@ -16,19 +16,19 @@
 
 /** Part of the latency target in which a new request may wait for a place: what is left is enough
  * for the read, as long as its queue is short. */
-inline constexpr double kWaitShare = 0.5;
+inline constexpr double kNewWaitShare = 0.5;
 /** The same once an engine has refused a new request the place that it was given: what is known of
  * the engines is wrong, and so is what was expected of the wait. */
-inline constexpr double kRefusedWaitShare = 0.2;
+inline constexpr double kReservationRefusedWaitShare = 0.2;
 /** Longest wait of a request whose caller has come back: about the time of a run, in which each
  * engine's memory comes free once. */
-inline constexpr duration kReturnedWait = std::chrono::seconds(3);
+inline constexpr duration kMaxReturnedWait = std::chrono::seconds(3);
 /** Part of the time until its caller's deadline that a request may wait: the rest is for its run.
  */
 inline constexpr double kDeadlineShare = 0.33;
 /** Earliest time for a refused caller to come back, and the span over which callers are spread. */
-inline constexpr duration kEarliestComeBack = std::chrono::milliseconds(1500);
-inline constexpr duration kComeBackSpread = std::chrono::milliseconds(3000);
+inline constexpr duration kMinRetryDelay = std::chrono::milliseconds(1500);
+inline constexpr duration kRetryDelaySpread = std::chrono::milliseconds(3000);
 
 /** How long a request may wait for a place. */
 struct place_wait
@@ -40,13 +40,14 @@
   static place_wait Make(duration aTarget, duration aTimeLeft)
   {
     const duration most = FromSeconds(std::max(0.0, ToSeconds(aTimeLeft)) * kDeadlineShare);
-    const duration fresh = FromSeconds(ToSeconds(aTarget) * kWaitShare);
-    return { std::min(fresh, most), std::min(kReturnedWait, most) };
+    const duration fresh = FromSeconds(ToSeconds(aTarget) * kNewWaitShare);
+    return { std::min(fresh, most), std::min(kMaxReturnedWait, most) };
   }
   /** @return the wait of a request whose place an engine has refused. */
   place_wait Refused(duration aTarget) const
   {
-    return { std::min(mNew, FromSeconds(ToSeconds(aTarget) * kRefusedWaitShare)), mReturned };
+    return { std::min(mNew, FromSeconds(ToSeconds(aTarget) * kReservationRefusedWaitShare)),
+             mReturned };
   }
   /** @return what is left of it after a while. */
   place_wait After(duration aSpan) const
@@ -60,7 +61,7 @@
 
 /** @return the part of a wait that is over; all of one that hasn't any length. */
 inline double
-PartOver(duration aSpent, duration aWait)
+WaitedShare(duration aSpent, duration aWait)
 {
   return aWait <= aSpent ? 1.0 : ToSeconds(aSpent) / ToSeconds(aWait);
 }
@@ -71,9 +72,9 @@
  * @return when a refused caller shall come back.
  */
 inline duration
-ComeBackIn(duration aFreeIn, double aDraw)
+RetryDelay(duration aFreeIn, double aDraw)
 {
-  return std::max(aFreeIn, kEarliestComeBack) + FromSeconds(ToSeconds(kComeBackSpread) * aDraw);
+  return std::max(aFreeIn, kMinRetryDelay) + FromSeconds(ToSeconds(kRetryDelaySpread) * aDraw);
 }
 
 } // namespace dunehook
--- a/src/placement/size_balance.h
+++ b/src/placement/size_balance.h
@@ -20,9 +20,9 @@
     const double served = aServed ? 1.0 : 0.0;
     const bool large = IsLarge(aSize);
     mMeanSize += (mMeanSize > 0.0 ? kSizeWeight : 1.0) * (aSize - mMeanSize);
-    mAll += kAllWeight * (served - mAll);
+    mServedShare += kServedWeight * (served - mServedShare);
     if (large) {
-      mLarge += kLargeWeight * (served - mLarge);
+      mLargeServedShare += kLargeServedWeight * (served - mLargeServedShare);
     }
   }
 
@@ -31,7 +31,7 @@
    * @return which part of the reserve it leaves free: 1 for the largest while they're served about
    *   as often as others; 1 for requests below the mean where the large ones fall behind.
    */
-  double PartLeft(double aSize) const
+  double ReserveShareKept(double aSize) const
   {
     if (mMeanSize <= 0.0) {
       return 0.0;
@@ -39,11 +39,11 @@
     const double excess = aSize / mMeanSize - 1.0;
     const double lean = std::clamp((Ratio() - kFairRatio) / kRatioSpan, -1.0, 1.0);
     const double place = std::clamp(excess / kLargeFactor, 0.0, 1.0);
-    return lean >= 0.0 ? lean * place : -lean * (1.0 - place) * kBehindFactor;
+    return lean >= 0.0 ? lean * place : -lean * (1.0 - place) * kSmallRequestReserveFactor;
   }
 
   /** @return how often large requests are served, against all. */
-  double Ratio() const { return mLarge / std::max(mAll, kLeastShare); }
+  double Ratio() const { return mLargeServedShare / std::max(mServedShare, kMinServedShare); }
 
 private:
   bool IsLarge(double aSize) const { return aSize >= 2.0 * mMeanSize && mMeanSize > 0.0; }
@@ -56,16 +56,16 @@
   static constexpr double kRatioSpan = 0.12;
   /** Weights of the newest request: some hundred of all, some thirty large ones count. */
   static constexpr double kSizeWeight = 0.03;
-  static constexpr double kAllWeight = 0.01;
-  static constexpr double kLargeWeight = 0.03;
+  static constexpr double kServedWeight = 0.01;
+  static constexpr double kLargeServedWeight = 0.03;
   /** Small requests leave this many times the reserve: a large one needs room all at once. */
-  static constexpr double kBehindFactor = 3.0;
+  static constexpr double kSmallRequestReserveFactor = 3.0;
   /** Below this share served the ratio says little. */
-  static constexpr double kLeastShare = 0.05;
+  static constexpr double kMinServedShare = 0.05;
 
-  double mMeanSize = 0.0; ///< Of all requests; 0 until one was seen.
-  double mAll = 1.0;      ///< Share of all that were served, of late.
-  double mLarge = 1.0;    ///< Share of the large ones that were served, of late.
+  double mMeanSize = 0.0;         ///< Of all requests; 0 until one was seen.
+  double mServedShare = 1.0;      ///< Share of all that were served, of late.
+  double mLargeServedShare = 1.0; ///< Share of the large ones that were served, of late.
 };
 
 } // namespace dunehook
--- a/src/state/forward_state.h
+++ b/src/state/forward_state.h
@@ -24,7 +24,7 @@
 /** Asks a daemon that places. The second argument tells whether the caller has left; no answer
  * means that this daemon decides by itself. */
 using place_asker =
-  std::function<asio::awaitable<std::optional<place_reply>>(place_question, std::function<bool()>)>;
+  std::function<asio::awaitable<std::optional<place_reply>>(place_request, std::function<bool()>)>;
 
 /** The shared state. */
 struct forward_state
--- a/tests/unit/forward_test.cpp
+++ b/tests/unit/forward_test.cpp
@@ -517,7 +517,7 @@
   run.mPromptTokens = 4;
   run.mAnswerTokens = 5;
   run.mMostTokens = 6;
-  run.mMadeTokens = 7;
+  run.mGeneratedTokens = 7;
   run.mSeen = kNow - 30ms;
   message.mBegun = { run };
   message.mEnded = { { 8 } };
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -423,8 +423,8 @@
 TEST(sizes, LargeRequestsLeaveRoomWhileTheyAreServedLikeOthers)
 {
   Note(100, 1.0, true);
-  CHECK(mSizes.PartLeft(1.0) < 0.05);
-  CHECK(mSizes.PartLeft(4.0) > 0.95);
+  CHECK(mSizes.ReserveShareKept(1.0) < 0.05);
+  CHECK(mSizes.ReserveShareKept(4.0) > 0.95);
 }
 
 TEST(sizes, SmallRequestsLeaveRoomOnceLargeOnesFallBehind)
@@ -434,8 +434,8 @@
     Note(1, 8.0, false);
   }
   CHECK(mSizes.Ratio() < 0.5);
-  CHECK(mSizes.PartLeft(0.5) > 0.9);
-  CHECK(mSizes.PartLeft(8.0) < 0.1);
+  CHECK(mSizes.ReserveShareKept(0.5) > 0.9);
+  CHECK(mSizes.ReserveShareKept(8.0) < 0.1);
 }
 
 TEST(sizes, RefusalsOfAllSizesAlikeChangeNothing)
@@ -451,11 +451,11 @@
 
 TEST(forecast, ARunCountsLessTheLongerItHasOutlivedItsGuess)
 {
-  const guess_model model;
-  const growing_run none;
-  growing_run young{ 5000, 100, 2000, 0, 0 };
+  const answer_length_model model;
+  const forecast_run none;
+  forecast_run young{ 5000, 100, 2000, 0, 0 };
   const double atStart = memory_forecast({ young }, 800, model).Peak(none, 0.0);
-  growing_run old{ 5000, 8000, 2000, 8064, 0 };
+  forecast_run old{ 5000, 8000, 2000, 8064, 0 };
   const double atEnd = memory_forecast({ old }, 800, model).Peak(none, 0.0);
   CHECK(atStart >= 5100);
   CHECK(atEnd >= 13000);
@@ -464,16 +464,16 @@
 
 TEST(forecast, CautionAddsRoom)
 {
-  const guess_model model;
-  const std::vector<growing_run> runs(8, growing_run{ 5000, 1000, 4000, 11000, 0 });
-  const growing_run newcomer{ 5000, 0, 4000, 11000, 0 };
+  const answer_length_model model;
+  const std::vector<forecast_run> runs(8, forecast_run{ 5000, 1000, 4000, 11000, 0 });
+  const forecast_run newcomer{ 5000, 0, 4000, 11000, 0 };
   const memory_forecast forecast(runs, 800, model);
   CHECK(forecast.Peak(newcomer, 2.0) > forecast.Peak(newcomer, 0.0) + 5000);
 }
 
 TEST(forecast, GuessesAreLearned)
 {
-  guess_model model;
+  answer_length_model model;
   for (int i = 0; i < 400; ++i) {
     model.Learn(1000, 2000);
   }
--- a/tests/unit/placing_load_test.cpp
+++ b/tests/unit/placing_load_test.cpp
@@ -45,9 +45,9 @@
 /** A generation that looks for a place. */
 struct load_request
 {
-  place_question mQuestion; ///< As it's asked.
-  double mAnswer = 0.0;     ///< Tokens that it will make.
-  instant mUntil{ 0 };      ///< It's refused then.
+  place_request mQuestion; ///< As it's asked.
+  double mAnswer = 0.0;    ///< Tokens that it will make.
+  instant mUntil{ 0 };     ///< It's refused then.
 };
 
 /** The player. */
@@ -245,7 +245,7 @@
   }
   runners.Apply(listing, kStep, false);
   constexpr int kQuestions = 10;
-  place_question question;
+  place_request question;
   question.mDemand.mService = "tutor";
   question.mDemand.mModel = "m";
   question.mDemand.mHall = "hall-1";
--- a/tests/unit/placing_return_test.cpp
+++ b/tests/unit/placing_return_test.cpp
@@ -53,12 +53,12 @@
 /** A caller. */
 struct load_caller
 {
-  place_question mQuestion; ///< As it asks.
-  double mAnswer = 0.0;     ///< Tokens that it will get.
-  instant mFirst{ 0 };      ///< When it asked first.
-  instant mAsked{ 0 };      ///< When it asked last.
-  instant mNext{ 0 };       ///< When it asks again.
-  bool mReturned = false;   ///< It was refused before.
+  place_request mQuestion; ///< As it asks.
+  double mAnswer = 0.0;    ///< Tokens that it will get.
+  instant mFirst{ 0 };     ///< When it asked first.
+  instant mAsked{ 0 };     ///< When it asked last.
+  instant mNext{ 0 };      ///< When it asks again.
+  bool mReturned = false;  ///< It was refused before.
 };
 
 /** The player. */
@@ -82,7 +82,7 @@
       Arrive(now);
       ComeBack(now);
       if (now % kDeskEvery == duration{ 0 }) {
-        for (const placed_reply& reply : mPlaceQueue.Tick(now)) {
+        for (const addressed_reply& reply : mPlaceQueue.Tick(now)) {
           Take(reply.mReply, now);
         }
       }
@@ -168,7 +168,7 @@
     mRefused.Note(caller.mQuestion.mPromptKey, aNow);
     ++mOutcome.mReturned;
     load_caller away = caller;
-    away.mNext = aNow + ComeBackIn(aReply.mFreeIn, mDraw.Share());
+    away.mNext = aNow + RetryDelay(aReply.mFreeIn, mDraw.Share());
     mAway.push_back(away);
   }
 
@@ -287,7 +287,7 @@
 
 TEST(placing_return, CallersComeBackSpreadOut)
 {
-  CHECK(ComeBackIn(0ms, 0.0) == 1500ms);
-  CHECK(ComeBackIn(0ms, 0.5) == 3s);
-  CHECK(ComeBackIn(2s, 0.0) == 2s);
+  CHECK(RetryDelay(0ms, 0.0) == 1500ms);
+  CHECK(RetryDelay(0ms, 0.5) == 3s);
+  CHECK(RetryDelay(2s, 0.0) == 2s);
 }
--- a/tests/unit/placing_test.cpp
+++ b/tests/unit/placing_test.cpp
@@ -39,10 +39,10 @@
   return entry;
 }
 
-place_question
+place_request
 Question(std::uint64_t aRun, std::uint32_t aRank = 1)
 {
-  place_question question;
+  place_request question;
   question.mDaemon = 70;
   question.mRound = 3;
   question.mRank = aRank;
@@ -57,7 +57,7 @@
   demand.mAnswerTokens = 3000;
   demand.mMostTokens = 11000;
   demand.mFailed = { { 5 } };
-  demand.mBarred = { { 6 } };
+  demand.mExcluded = { { 6 } };
   demand.mEventGap = 300ms;
   demand.mFirstEventWithin = 850ms;
   return question;
@@ -75,7 +75,7 @@
     mRunners.Apply(listing, kNow, false);
   }
 
-  place_reply Ask(const place_question& aQuestion, instant aNow = kNow)
+  place_reply Ask(const place_request& aQuestion, instant aNow = kNow)
   {
     return mPlaceQueue.Take(aQuestion, aQuestion.mDaemon, kAsker, aNow);
   }
@@ -103,7 +103,7 @@
   Ask(Question(2));
   LONGS_EQUAL(0, mPlaceQueue.Tick(kNow + 20ms).size());
   mPlacement.End({ 1 });
-  const std::vector<placed_reply> replies = mPlaceQueue.Tick(kNow + 40ms);
+  const std::vector<addressed_reply> replies = mPlaceQueue.Tick(kNow + 40ms);
   LONGS_EQUAL(1, replies.size());
   CHECK(replies[0].mTo == kAsker);
   CHECK(replies[0].mReply.mState == place_state::ePlaced);
@@ -119,11 +119,11 @@
   Ask(Question(3, 1));
   Ask(Question(4, 0));
   mPlacement.End({ 1 });
-  const std::vector<placed_reply> first = mPlaceQueue.Tick(kNow + 20ms);
+  const std::vector<addressed_reply> first = mPlaceQueue.Tick(kNow + 20ms);
   LONGS_EQUAL(1, first.size());
   CHECK(first[0].mReply.mRun == run_id{ 4 });
   mPlacement.End({ 4 });
-  const std::vector<placed_reply> second = mPlaceQueue.Tick(kNow + 40ms);
+  const std::vector<addressed_reply> second = mPlaceQueue.Tick(kNow + 40ms);
   LONGS_EQUAL(1, second.size());
   CHECK(second[0].mReply.mRun == run_id{ 2 });
 }
@@ -132,7 +132,7 @@
 TEST(placing, NewCallersGoBeforeThoseThatHaveComeBack)
 {
   Ask(Question(1));
-  place_question back = Question(2);
+  place_request back = Question(2);
   back.mDemand.mReturned = true;
   back.mWait.mReturned = 3s;
   const place_reply queued = Ask(back);
@@ -140,11 +140,11 @@
   CHECK(queued.mWaitsFor == 3s);
   Ask(Question(3), kNow + 10ms);
   mPlacement.End({ 1 });
-  const std::vector<placed_reply> first = mPlaceQueue.Tick(kNow + 20ms);
+  const std::vector<addressed_reply> first = mPlaceQueue.Tick(kNow + 20ms);
   LONGS_EQUAL(1, first.size());
   CHECK(first[0].mReply.mRun == run_id{ 3 });
   mPlacement.End({ 3 });
-  const std::vector<placed_reply> second = mPlaceQueue.Tick(kNow + 2900ms);
+  const std::vector<addressed_reply> second = mPlaceQueue.Tick(kNow + 2900ms);
   LONGS_EQUAL(1, second.size());
   CHECK(second[0].mReply.mRun == run_id{ 2 });
   CHECK(second[0].mReply.mState == place_state::ePlaced);
@@ -155,12 +155,12 @@
 {
   Ask(Question(1));
   Ask(Question(2, 1));
-  place_question urgent = Question(3, 0);
+  place_request urgent = Question(3, 0);
   urgent.mDemand.mReturned = true;
   urgent.mWait.mReturned = 150ms;
   Ask(urgent);
   mPlacement.End({ 1 });
-  const std::vector<placed_reply> first = mPlaceQueue.Tick(kNow + 149ms);
+  const std::vector<addressed_reply> first = mPlaceQueue.Tick(kNow + 149ms);
   LONGS_EQUAL(1, first.size());
   CHECK(first[0].mReply.mRun == run_id{ 3 });
 }
@@ -204,7 +204,7 @@
   Ask(Question(1));
   Ask(Question(2));
   LONGS_EQUAL(0, mPlaceQueue.Tick(kNow + 170ms).size());
-  const std::vector<placed_reply> replies = mPlaceQueue.Tick(kNow + 180ms);
+  const std::vector<addressed_reply> replies = mPlaceQueue.Tick(kNow + 180ms);
   LONGS_EQUAL(1, replies.size());
   CHECK(replies[0].mReply.mState == place_state::eNone);
   CHECK(replies[0].mReply.mReason == no_place::eNoMemory);
@@ -215,7 +215,7 @@
 TEST(placing, WhoeverMayNotWaitIsToldAtOnce)
 {
   Ask(Question(1));
-  place_question hasty = Question(2);
+  place_request hasty = Question(2);
   hasty.mWait.mNew = 0ms;
   CHECK(Ask(hasty).mState == place_state::eNone);
   LONGS_EQUAL(0, mPlaceQueue.Waiting());
@@ -248,22 +248,22 @@
 
 TEST(placing, AnEngineThatTheAskersDaemonMayNotUseIsNotGiven)
 {
-  place_question question = Question(1);
-  question.mDemand.mBarred = { RunnerIdOf("d") };
+  place_request question = Question(1);
+  question.mDemand.mExcluded = { RunnerIdOf("d") };
   CHECK(Ask(question).mState != place_state::ePlaced);
   CHECK(Ask(Question(2)).mState == place_state::ePlaced);
 }
 
 TEST(placing, AServiceThatIsNotKnownIsNotPlacedHere)
 {
-  place_question strange = Question(1);
+  place_request strange = Question(1);
   strange.mDemand.mService = "other";
-  CHECK(Ask(strange).mState == place_state::eNotHere);
+  CHECK(Ask(strange).mState == place_state::eNotPlacing);
 }
 
 TEST(placing, TimeSpentWaitingIsTakenOffTheTimeToTheFirstEvent)
 {
-  place_question late = Question(2);
+  place_request late = Question(2);
   late.mDemand.mFirstEventWithin = 200ms;
   Ask(Question(1));
   Ask(late);
@@ -287,7 +287,7 @@
       mRunners.NoteOutcome(engine, send_outcome::eUnreachable, now);
       waiting.pop_front();
     }
-    place_question question = Question(100 + sent);
+    place_request question = Question(100 + sent);
     question.mDemand.mPromptTokens = 500;
     question.mDemand.mAnswerTokens = 100;
     question.mDemand.mMostTokens = 100;
@@ -307,9 +307,9 @@
   const service_runner_id engine = RunnerIdOf("d");
   mRunners.NoteOutcome(engine, send_outcome::eUnreachable, kNow);
   const instant back = kNow + 200ms;
-  place_question first = Question(7);
+  place_request first = Question(7);
   first.mDemand.mPromptTokens = 500;
-  place_question second = Question(8);
+  place_request second = Question(8);
   second.mDemand.mPromptTokens = 500;
   second.mWait.mNew = 0ms;
   LONGS_EQUAL(static_cast<int>(place_state::ePlaced), static_cast<int>(Ask(first, back).mState));
@@ -320,10 +320,10 @@
 
 TEST(placing, QuestionsAndAnswersTravelWhole)
 {
-  place_question question = Question(9);
+  place_request question = Question(9);
   question.mWait.mReturned = 3s;
   const placing_message read = DecodePlacing(Encode(question));
-  CHECK(std::get<place_question>(read) == question);
+  CHECK(std::get<place_request>(read) == question);
   place_reply reply;
   reply.mRun = { 9 };
   reply.mRound = 4;
