--- a/src/placement/event_rate.h
+++ b/src/placement/event_rate.h
@@ -1,6 +1,6 @@
 /**
  * @file event_rate.h
- * How often something happened lately. Pure.
+ * Exponentially decaying estimate of an event rate. Pure: no I/O, no clock.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace dunehook {
 
-/** Events a second, of which older ones count less. */
+/** Events per second; the weight of an event decays with its age. */
 class event_rate
 {
 public:
@@ -25,11 +25,12 @@
   }
 
 private:
-  /** An event's weight falls to 37% in this time: some tens of events on a busy service. */
+  /** An event's weight falls to 37% in this time, which spans some tens of events on a busy
+   * service. */
   static constexpr duration kTimeConstant = std::chrono::seconds(1);
 
-  double mRate = 0.0;      ///< At mLastEvent.
-  instant mLastEvent{ 0 }; ///< The last event.
+  double mRate = 0.0;      ///< Events per second at mLastEvent.
+  instant mLastEvent{ 0 }; ///< Time of the last event.
 };
 
 } // namespace dunehook
--- a/src/placement/learned_mean.h
+++ b/src/placement/learned_mean.h
@@ -1,6 +1,6 @@
 /**
  * @file learned_mean.h
- * A mean of what was seen of late, that follows the first values quickly. Pure.
+ * Moving average that converges quickly on its first values. Pure.
  */
 #pragma once
 
@@ -8,27 +8,27 @@
 
 namespace dunehook {
 
-/** The mean. */
+/** The plain mean of the first values, and an exponential moving average from then on. */
 class learned_mean
 {
 public:
-  /** Takes in a value. */
+  /** Adds a value. */
   void Learn(double aValue)
   {
     ++mSeen;
     mMean += std::max(kMinWeight, 1.0 / mSeen) * (aValue - mMean);
   }
-  /** @return whether a value was seen. */
+  /** @return whether any value was added. */
   bool Known() const { return mSeen > 0; }
-  /** @return the mean, or @p aGuess if nothing was seen. */
+  /** @return the mean, or @p aGuess if no value was added yet. */
   double Or(double aGuess) const { return Known() ? mMean : aGuess; }
 
 private:
-  /** Weight of the newest value once some were seen. */
+  /** Weight of the newest value from the tenth on. */
   static constexpr double kMinWeight = 0.1;
 
-  double mMean = 0.0; ///< Of the values seen.
-  int mSeen = 0;      ///< Values seen.
+  double mMean = 0.0; ///< Moving average of the values.
+  int mSeen = 0;      ///< Number of values added.
 };
 
 } // namespace dunehook
--- a/src/placement/memory_forecast.cpp
+++ b/src/placement/memory_forecast.cpp
@@ -1,6 +1,6 @@
 /**
  * @file memory_forecast.cpp
- * SurvivalProbability of runs, and sums over them.
+ * Survival probabilities of runs and the sums of the tokens that they hold.
  */
 #include "placement/memory_forecast.h"
 
@@ -12,17 +12,18 @@
 
 namespace {
 
-/** Weight of a finished run in what is learned; about the last hundred count. */
+/** Weight of a finished run; about the last hundred runs count. */
 constexpr double kNewRunWeight = 0.02;
-/** Spreads are kept within these, so that a few odd answers don't upset the forecast. */
+/** Limits of the spread, so that a few unusual answers don't distort the forecast. */
 constexpr double kMinSpread = 0.2;
 constexpr double kMaxSpread = 1.2;
-/** Instants of a forecast. */
+/** Number of instants at which a forecast is evaluated. */
 constexpr int kSteps = 10;
-/** The forecast reaches to the time by which five of six newcomers have ended. */
+/** The forecast ends one standard deviation above the median, when five of six new runs have ended.
+ */
 constexpr double kHorizonSpreads = 1.0;
 
-/** @return the chance that a standard normal number is above @p aValue. */
+/** @return the probability that a standard normal variable is above @p aValue. */
 double
 NormalTailProbability(double aValue)
 {
@@ -94,7 +95,8 @@
   if (aTokens <= run.mGenerated) {
     return 1.0;
   }
-  // Far beyond the guess the chances are too small to divide; such a run ends about evenly.
+  // Far beyond the estimate the probabilities are too small for the division. Such a run is taken
+  // to end at a uniformly distributed length up to twice its current one.
   return aRun.mProbabilityReached < 1e-6
            ? std::max(0.0, 1.0 - (aTokens - run.mGenerated) / run.mGenerated)
            : ProbabilityLonger(aRun.mMedian, aTokens) / aRun.mProbabilityReached;
--- a/src/placement/place_type.h
+++ b/src/placement/place_type.h
@@ -1,6 +1,6 @@
 /**
  * @file place_type.h
- * What a daemon asks the daemon that places generations for all, and what it's answered.
+ * Requests and replies between a daemon and the daemon that places generations for all daemons.
  */
 #pragma once
 
@@ -9,39 +9,42 @@
 
 namespace dunehook {
 
-/** A generation that wants a place, as another daemon asks. */
+/** A daemon's request to place a generation. */
 struct place_request
 {
-  std::uint64_t mDaemon = 0;    ///< The asker's run: its incarnation.
-  std::uint32_t mRound = 0;     ///< Tells the questions for one generation apart.
-  generation_demand mDemand;    ///< What is wanted; mFirstEventWithin counts from the sending.
-  std::uint64_t mPromptKey = 0; ///< Hash of the prompt's own part; 0 if it has none.
-  std::uint32_t mRank = 0;      ///< Of the route: 0 is the most urgent.
-  place_wait mWait;             ///< How long the question may wait for a place.
+  std::uint64_t mDaemon = 0; ///< Incarnation of the requesting daemon's process.
+  std::uint32_t mRound = 0;  ///< Distinguishes the requests made for one generation.
+  /** What to place; mFirstEventWithin counts from the sending of the request. */
+  generation_demand mDemand;
+  /** Hash of the part of the prompt that is specific to the request; 0 if it has none. */
+  std::uint64_t mPromptKey = 0;
+  std::uint32_t mRank = 0; ///< Priority rank of the route: 0 is the most urgent.
+  place_wait mWait;        ///< How long the request may wait in the queue.
 
   auto operator<=>(const place_request&) const = default;
 };
 
-/** How a question was answered. */
+/** Outcome of a place request. */
 enum class place_state
 {
-  ePlaced,     ///< There's a place, and it's taken for the generation.
-  eNone,       ///< There's none in the time that the question may wait.
-  eQueued,     ///< It waits; another answer follows.
-  eNotPlacing, ///< This daemon doesn't place: it starts, stops, or has just stood still.
+  ePlaced,     ///< A place was found, and is taken for the generation.
+  eNone,       ///< No place was found in the time that the request may wait.
+  eQueued,     ///< The request waits in the queue; another reply follows.
+  eNotPlacing, ///< This daemon doesn't place now: it starts, stops, or was just suspended.
 };
 
-/** The answer. */
+/** The reply to a place request. */
 struct place_reply
 {
   run_id mRun;                                   ///< The generation.
-  std::uint32_t mRound = 0;                      ///< Of the question.
-  place_state mState = place_state::eNotPlacing; ///< How it was answered.
-  placement_choice mChoice;                      ///< Where to, if there's a place.
-  no_place mReason = no_place::eNoEngine;        ///< Why there's none.
-  duration mFreeIn{ 0 };   ///< Expected time until there's one, if there's none.
-  duration mWaitsFor{ 0 }; ///< The last answer comes by then, if it waits.
-  bool mReturned = false;  ///< The request was refused before by some daemon.
+  std::uint32_t mRound = 0;                      ///< mRound of the request.
+  place_state mState = place_state::eNotPlacing; ///< Outcome.
+  placement_choice mChoice;                      ///< Engines to use, if placed.
+  no_place mReason = no_place::eNoEngine;        ///< Reason, if there's no place.
+  duration mFreeIn{ 0 };   ///< Expected time until there's a place, if there's none.
+  duration mWaitsFor{ 0 }; ///< Time until the final reply at the latest, if queued.
+  /** The caller came back after an earlier attempt was refused or its stream broke. */
+  bool mReturned = false;
 };
 
 } // namespace dunehook
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -13,44 +13,47 @@
 
 namespace {
 
-/** Waits that are looked at for a demand that doesn't fit now. */
+/** Delays at which a demand that doesn't fit now is checked again. */
 constexpr std::array<duration, 7> kProbedDelays{ duration{ 0 },      duration{ 50000 },
                                                  duration{ 120000 }, duration{ 250000 },
                                                  duration{ 500000 }, duration{ 1000000 },
                                                  duration{ 2000000 } };
-/** An engine that always fails is worth this much waiting for another. */
+/** Cost, as waiting, of an engine that fails every request. */
 constexpr double kFailureCostMicros = 1500000.0;
-/** A share of failures that any engine may have: a single failure of late. */
+/** Failure share without cost: that of a single recent failure. */
 constexpr double kIgnoredFailureShare = 0.06;
-/** An engine that has failed a request is taken again for it only where there's no other. */
+/** Cost of an engine that already failed this request: it is chosen only if there's no other. */
 constexpr double kFailedThisRequestCostMicros = 5000000.0;
-/** With no engine at all, one may be back after this. */
+/** Retry delay where there's no usable engine. */
 constexpr duration kNoEngineRetryDelay = std::chrono::seconds(1);
-/** With engines that read too late, the queue is shorter after this. */
+/** Retry delay where all reads would be late: the read queues are shorter by then. */
 constexpr duration kTooLateRetryDelay = std::chrono::milliseconds(300);
-/** A decode engine that has read a prompt rests this long before the next: its runs catch up. */
+/** Least time between two prompt reads of a decode engine, so that its runs catch up. */
 constexpr duration kDecodeReadInterval = std::chrono::milliseconds(350);
-/** Part of the longest pause between events that a read at a decode engine may take. */
+/** Share of the longest allowed pause between events that a read at a decode engine may take. */
 constexpr double kMaxReadPauseShare = 0.85;
-/** Weight of a run where engines are chosen by the number of runs. */
+/** Load counted for each run where engines are chosen by the number of runs. */
 constexpr double kLoadPerRun = 0.05;
-/** Time from the end of a read to the first token: one call, and the memory's move. */
+/** Time from the end of a read to the first token: one call and the transfer of the KV cache. */
 constexpr duration kHandoffTime = std::chrono::milliseconds(15);
-/** Moves between halls take longer and are charged more: worth this much waiting. */
+/** Cost, as waiting, of a KV cache transfer between data halls, which takes longer and is charged
+ * more. */
 constexpr double kOtherHallTransferCostMicros = 25000.0;
-/** Events that come from another hall: worth this much waiting. */
+/** Cost, as waiting, of events sent from another data hall. */
 constexpr double kOtherHallCallCostMicros = 6000.0;
-/** A full engine against an empty one: tokens come slower, and guesses fail more often. */
+/** Cost, as waiting, of a full engine: tokens come slower, and length estimates that are too low do
+ * more harm. */
 constexpr double kFullEngineCostMicros = 400000.0;
-/** A decode engine reads prompts at half of the pace of a prefill engine. */
+/** Read speed of a decode engine relative to a prefill engine. */
 constexpr double kDecodeReadSpeedFactor = 0.5;
-/** Waiting for a prefill engine beyond this makes reading at the decode engine the better way. */
+/** Cost of a read at the decode engine: it is preferred once the wait for a prefill engine is
+ * longer than this. */
 constexpr double kDecodeReadCostMicros = 400000.0;
-/** Decode engines that are looked at closely for one demand, the emptiest ones: an asker doesn't
- * wait for a comparison of thousands. */
+/** Number of decode engines compared in detail for one demand, the cheapest by load. The requesting
+ * daemon's timeout is too short for a comparison of thousands. */
 constexpr std::size_t kMaxComparedEngines = 96;
 
-/** @return the demand as a run that starts now. */
+/** @return the demand as a run that starts now, for the forecast. */
 forecast_run
 NewRun(const generation_demand& aDemand)
 {
@@ -61,7 +64,7 @@
   return newcomer;
 }
 
-/** @return what an engine's failures weigh, as waiting. */
+/** @return the cost of an engine's failures, as microseconds of waiting. */
 double
 FailureCostMicros(const runner_state& aEngine, const generation_demand& aDemand)
 {
@@ -72,8 +75,8 @@
 }
 
 /** @return whether a prompt is short enough to be read by a decode engine between two events of its
- * runs. Where an event holds many tokens the whole prompt is read between two, so that a long one
- * would make all runs of the engine late before any of them tells. */
+ * runs. Where an event holds many tokens, the whole prompt is read between two events, and a long
+ * one would delay all runs of the engine before any of them could show it. */
 bool
 FitsBetweenEvents(const generation_demand& aDemand, double aEventMicros)
 {
@@ -81,7 +84,7 @@
   return read + aEventMicros < kMaxReadPauseShare * Micros(aDemand.mEventGap);
 }
 
-/** @return what an engine's load, failures and way weigh, as waiting. */
+/** @return the cost of an engine's load, failures and distance, as microseconds of waiting. */
 double
 BaseCost(const runner_state& aDecode, const generation_demand& aDemand, double aLoad)
 {
@@ -223,7 +226,7 @@
     byCost.emplace_back(BaseCost(*decode, aDemand, load), decode);
   }
   if (byCost.empty()) {
-    aSets.mDecodes.resize(kMaxComparedEngines); // They tell when there may be room.
+    aSets.mDecodes.resize(kMaxComparedEngines); // Their back-off gives the retry time.
     return;
   }
   const std::size_t looks = std::min(kMaxComparedEngines, byCost.size());
@@ -321,9 +324,9 @@
   const std::uint64_t version = aDecode.mEntry.VersionOf(aDemand.mModel);
   for (const read_option& reader : aSets.mReaders) {
     if (base + reader.Cost() >= aBest.mCost) {
-      break; // All that follow cost as much or more.
+      break; // The options are sorted by cost.
     }
-    if (reader.mVersion == version) { // Else its KV cache would be of other weights.
+    if (reader.mVersion == version) { // A KV cache of other weights can't be used.
       const bool sameHall = reader.mEngine->mEntry.mHall == aDecode.mEntry.mHall;
       consider(reader.mEngine->mId,
                reader.mRead,
@@ -331,7 +334,8 @@
     }
   }
   const duration ownRead = DecodeReadTime(aDemand.mPromptTokens);
-  // The engine's other runs pause while it reads, so it reads one prompt at a time, with rests.
+  // The engine's other runs pause while it reads, so it reads one prompt at a time, with an
+  // interval between two.
   const bool reads = std::any_of(runs.begin(), runs.end(), [&](const run_record* aRun) {
     return !aRun->mPrefill && aRun->mGeneratedTokens == 0 &&
            aRun->mSeen + kDecodeReadInterval > aNow;
--- a/src/placement/placement_func.h
+++ b/src/placement/placement_func.h
@@ -1,6 +1,6 @@
 /**
  * @file placement_func.h
- * What the choice of engines and the table of runs both work out.
+ * Helpers shared by the choice of engines and the table of runs.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
   return static_cast<double>(aSpan.count());
 }
 
-/** @return what a run takes of memory over its time, in tokens squared. */
+/** @return a run's memory use integrated over its answer: tokens held times tokens generated. */
 inline double
 RequestSize(std::uint32_t aPrompt, std::uint32_t aAnswer)
 {
@@ -22,7 +22,7 @@
   return answer * (aPrompt + answer / 2.0);
 }
 
-/** @return what a run holds at its end, if its answer is as long as guessed. */
+/** @return tokens that a run holds at its end if its answer has the estimated length. */
 inline std::uint64_t
 CommittedTokens(const run_record& aRun)
 {
--- a/src/placement/placement_queue.cpp
+++ b/src/placement/placement_queue.cpp
@@ -1,6 +1,6 @@
 /**
  * @file placement_queue.cpp
- * Questions, their order, and what is told of a place.
+ * Placement attempts and the order of queued requests.
  */
 #include "placement/placement_queue.h"
 
@@ -20,8 +20,8 @@
   demand.mReturned = demand.mReturned || mRefused.Contains(aQuestion.mPromptKey, aNow);
   const duration most = aQuestion.mWait.Of(demand.mReturned);
   question.mWaitsFor = ExpectsPlaceWithin(question, most, aNow) ? most : duration{ 0 };
-  // Tried at once, also while others wait: what they found too small for them may do for a smaller
-  // one. What comes free is offered to those that wait within one tick.
+  // Tried at once, even while others wait: room that is too small for them may be enough for a
+  // smaller request. Memory that becomes free is offered to queued requests within one tick.
   const bool waits = question.mWaitsFor > duration{ 0 };
   place_reply reply = Try(question, aNow, !waits);
   if (reply.mState == place_state::eNone && waits) {
@@ -96,8 +96,8 @@
   if (!traits) {
     return reply;
   }
-  // Whoever has come back is late already: what counts is that the read doesn't keep others
-  // waiting.
+  // The first event of a returned caller is late in any case. Its time is not reduced by the wait,
+  // so that it only limits how long the read may delay others.
   demand.mFirstEventWithin -= demand.mReturned ? duration{ 0 } : aNow - aWaiting.mAsked;
   reply.mReturned = demand.mReturned;
   demand.mWaited = WaitedShare(aNow - aWaiting.mAsked, aWaiting.mWaitsFor);
--- a/src/placement/placement_queue.h
+++ b/src/placement/placement_queue.h
@@ -1,9 +1,9 @@
 /**
  * @file placement_queue.h
- * Places generations for all daemons. One daemon that knows every run decides one after the other,
- * so that no two decisions take the same room; what finds no room waits here: the most urgent
- * first, then new callers, then those that have come back, and the longest waiting of each. The
- * engine's own reservation stays the truth: two daemons that place at once cost a refused
+ * Places generations for all daemons. One daemon that knows every run decides on one request after
+ * the other, so that no two decisions take the same memory. Requests that find no room wait in this
+ * queue, ordered by priority, then new callers before returned ones, then by arrival. The engine's
+ * own reservation still decides: if two daemons place at the same time, the cost is a refused
  * reservation. Pure: no I/O, no clock.
  */
 #pragma once
@@ -17,29 +17,29 @@
 
 namespace dunehook {
 
-/** Tries for questions that wait, on one tick, so that those that come in a peak aren't kept
- * waiting behind them. */
+/** Limit of placement attempts for queued requests per tick, so that requests arriving at a peak
+ * aren't delayed by them. */
 inline constexpr std::size_t kMaxAttemptsPerTick = 6;
 
-/** A question waits only where this part of the places that are given meanwhile, at the rate of
- * late, is enough for it and all before it: else it's refused at once, since it would wait in
- * vain. */
+/** Share of the places expected at the recent rate that a request counts on. A request is queued
+ * only if that many places are enough for it and all requests before it; otherwise it is refused at
+ * once, as it would wait in vain. */
 inline constexpr double kExpectedPlacesShare = 0.8;
-/** So many may wait however few places were given lately: at a start none were. */
+/** Number of requests that may wait however low the recent rate is: after a start it is zero. */
 inline constexpr double kMinQueueAllowance = 8.0;
 
-/** An answer and whom it's for. */
+/** A reply and its recipient. */
 struct addressed_reply
 {
-  endpoint mTo;       ///< The asker.
-  place_reply mReply; ///< The answer.
+  endpoint mTo;       ///< Address of the requesting daemon.
+  place_reply mReply; ///< The reply.
 };
 
-/** The queue. */
+/** Queue of place requests that are tried again on each tick. */
 class placement_queue
 {
 public:
-  /** @return the traits of a service's engines, or nothing if it's not known. */
+  /** @return the traits of a service's engines, or nothing if the service isn't known. */
   using traits_lookup = std::function<std::optional<engine_traits>(const std::string& aService)>;
 
   placement_queue(placement_table& aPlacement,
@@ -54,47 +54,49 @@
   }
 
   /**
-   * Takes a question.
-   * @param aDaemon the asker in the table of runs; 0 is this daemon.
-   * @return the answer: also that it waits.
+   * Places a request or queues it. It replaces an earlier request for the same run.
+   * @param aDaemon the requesting daemon in the table of runs; 0 is this daemon.
+   * @return the reply, which may be that the request is queued.
    */
   place_reply Take(const place_request& aQuestion,
                    std::uint64_t aDaemon,
                    const endpoint& aFrom,
                    instant aNow);
-  /** Tries for those that wait, and answers those whose time is over. Call it some times a tenth of
-   * a second while there are any. */
+  /** Tries queued requests again, and returns the replies to those placed and those whose time is
+   * over. To be called several times in a tenth of a second while any wait. */
   std::vector<addressed_reply> Tick(instant aNow);
-  /** Forgets a question: its caller has left. */
+  /** Removes the queued request of a run, for example when its caller has left. */
   void Withdraw(run_id aRun);
-  /** @return questions that wait. */
+  /** @return number of queued requests. */
   std::size_t Waiting() const { return mWaiting.size(); }
 
 private:
-  /** A question that waits. */
+  /** A queued request. */
   struct waiting_question
   {
-    place_request mQuestion;   ///< As it was asked.
-    std::uint64_t mDaemon = 0; ///< The asker in the table of runs.
-    endpoint mFrom;            ///< The asker's address.
-    instant mAsked{ 0 };       ///< When it came.
-    duration mWaitsFor{ 0 };   ///< How long it may wait.
+    place_request mQuestion;   ///< The request as received.
+    std::uint64_t mDaemon = 0; ///< The requesting daemon in the table of runs.
+    endpoint mFrom;            ///< Address of the requesting daemon.
+    instant mAsked{ 0 };       ///< Time of arrival.
+    duration mWaitsFor{ 0 };   ///< Longest time in the queue.
   };
 
-  /** @return whether a question gets a place within @p aWait if places are given as fast as lately.
+  /** @return whether a request would get a place within @p aWait at the recent rate of placements.
    */
   bool ExpectsPlaceWithin(const waiting_question& aQuestion, duration aWait, instant aNow) const;
-  /** The order of those that wait: the most urgent first, then those that can still be in time. */
+  /** Order of the queue: the most urgent first, then new callers, which can still be in time. */
   static bool GoesBefore(const waiting_question& aOne, const waiting_question& aTwo);
 
+  /** Tries to place a request once. @param aLast whether the caller needs the time until there's a
+   * place. */
   place_reply Try(const waiting_question& aWaiting, instant aNow, bool aLast);
 
-  placement_table& mPlacement;            ///< All runs.
-  runner_table& mRunners;                 ///< All engines.
-  const refused_table& mRefused;          ///< Requests refused lately by any daemon.
-  traits_lookup mTraits;                  ///< Of services.
-  std::vector<waiting_question> mWaiting; ///< The next to be tried first.
-  event_rate mPlaced;                     ///< Places given.
+  placement_table& mPlacement;            ///< Table of all runs.
+  runner_table& mRunners;                 ///< Table of all engines.
+  const refused_table& mRefused;          ///< Prompts refused lately by any daemon.
+  traits_lookup mTraits;                  ///< Looks up the engine traits of a service.
+  std::vector<waiting_question> mWaiting; ///< Queued requests in the order of GoesBefore().
+  event_rate mPlaced;                     ///< Rate of placements.
 };
 
 } // namespace dunehook
--- a/src/placement/placement_runs.cpp
+++ b/src/placement/placement_runs.cpp
@@ -1,6 +1,6 @@
 /**
  * @file placement_runs.cpp
- * The table of runs: what begins and ends, and what is learned from it.
+ * The table of runs: begin, progress and end of runs, and what is learned from finished ones.
  */
 #include "placement/placement.h"
 
@@ -12,12 +12,13 @@
 
 namespace {
 
-/** A run has most likely ended at this many times its guess, or of what it has made. */
+/** A run has most likely ended at kEstimateOverrunFactor times its estimated length, or
+ * kGeneratedOverrunFactor times what it has generated, whichever is longer. */
 constexpr double kEstimateOverrunFactor = 2.5;
 constexpr double kGeneratedOverrunFactor = 1.3;
-/** Runs of others are dropped this long after their expected end if nobody said that they ended. */
+/** Runs of other daemons are dropped this long after their expected end if no end was reported. */
 constexpr duration kOverdueRunTimeout = std::chrono::milliseconds(2500);
-/** Weight of the newest measurement of a pace. */
+/** Weight of the newest measurement of an engine's pace. */
 constexpr double kPaceWeight = 0.1;
 
 } // namespace
--- a/src/placement/prompt_queue.cpp
+++ b/src/placement/prompt_queue.cpp
@@ -1,6 +1,6 @@
 /**
  * @file prompt_queue.cpp
- * What is left of an engine's reads, and its speed.
+ * Expected end of an engine's pending reads, and its read speed.
  */
 #include "placement/prompt_queue.h"
 
@@ -10,15 +10,15 @@
 
 namespace {
 
-/** What earlier reads still count as each new one is taken in. */
+/** Factor by which the weight of earlier reads falls with each new one. */
 constexpr double kEarlierWeight = 0.9;
-/** A read is taken in as at most so many times quicker or slower than those before it: an engine
- * that stood still hasn't become slow. */
+/** Limit of the factor between a read's speed and the average so far: an engine that was suspended
+ * once hasn't become slow. */
 constexpr double kMaxSpeedChange = 4.0;
-/** Speeds that are believed, in tokens a microsecond. */
+/** Plausible range of speeds, in tokens per microsecond. */
 constexpr double kMinTokensPerMicro = 0.002;
 constexpr double kMaxTokensPerMicro = 1.0;
-/** A read that nobody has told the end of is over after this. */
+/** A read without a reported end is dropped after this. */
 constexpr duration kPendingReadTimeout = std::chrono::seconds(3);
 
 } // namespace
@@ -53,13 +53,13 @@
   const auto read = std::find_if(
     mPending.begin(), mPending.end(), [&](const auto& aRead) { return aRead.mRun == aRun; });
   if (read != mPending.end()) {
-    // It waited for the read before it: only what came after that was its own.
+    // It waited for the read before it; only the time after that one's end was spent on it.
     const instant from = std::max(mLastRead, aNow - aTook);
     mSpeed.Learn(read->mTokens, aNow - from);
     mLastRead = aNow;
   }
-  // What is left of the queue begins now. Moving its end by how late the read was would count one
-  // delay once for each read that waited behind it.
+  // The rest of the queue begins now. Shifting the expected end by the delay of this read would
+  // count the same delay again for each read that waited behind it.
   std::erase_if(mPending, [&](const pending_read& aRead) {
     return aRead.mRun == aRun || aNow - aRead.mSince > kPendingReadTimeout;
   });
--- a/src/placement/prompt_queue.h
+++ b/src/placement/prompt_queue.h
@@ -1,7 +1,7 @@
 /**
  * @file prompt_queue.h
- * The prompts that one engine has under way or waits for, and how quickly it reads, learned from
- * the reads that end. Reads go one after the other. Pure: no I/O, no clock.
+ * Queue of the prompts that one engine reads, one after the other, and its read speed, learned from
+ * finished reads. Pure: no I/O, no clock.
  */
 #pragma once
 
@@ -12,71 +12,72 @@
 namespace dunehook {
 
 struct run_tag;
-/** A generation under way, by the hash of its request's id. */
+/** Id of a generation: the hash of its request's id. */
 using run_id = strong_id<run_tag>;
 
-/** Reading speed of an engine of which nothing was seen, in tokens a microsecond. */
+/** Read speed assumed for engines until one was measured, in tokens per microsecond. */
 inline constexpr double kDefaultTokensPerMicro = 0.05;
 
-/** How quickly an engine reads. Each read that ends counts for more than the one before it. */
+/** Read speed of an engine, as a moving average in which later reads weigh more. */
 class read_speed
 {
 public:
-  /** @param aGuess tokens a microsecond, until reads are seen. */
+  /** @param aGuess tokens per microsecond, until reads are measured. */
   explicit read_speed(double aGuess = kDefaultTokensPerMicro)
     : mTokens(kGuessTokens)
     , mMicros(kGuessTokens / aGuess)
   {
   }
 
-  /** Takes in a read. @param aBusy time that the engine spent on it alone. */
+  /** Adds a finished read. @param aBusy time that the engine spent on this read alone. */
   void Learn(double aTokens, duration aBusy);
-  /** @return tokens a microsecond; above zero. */
+  /** @return tokens per microsecond; above zero. */
   double TokensPerMicro() const { return mTokens / mMicros; }
 
 private:
-  /** The guess counts as much as a read of so many tokens: the first prompts outweigh it. */
+  /** Weight of the initial value, as a read of so many tokens: the first prompts outweigh it. */
   static constexpr double kGuessTokens = 2000.0;
 
-  double mTokens; ///< Read of late; above zero.
-  double mMicros; ///< Spent on them; above zero.
+  double mTokens; ///< Weighted sum of tokens read; above zero.
+  double mMicros; ///< Weighted sum of microseconds spent on them; above zero.
 };
 
-/** The queue. */
+/** Pending reads of one engine and their expected end. */
 class prompt_queue
 {
 public:
-  /** @param aGuess of the engine's speed, in tokens a microsecond. */
+  /** @param aGuess initial read speed in tokens per microsecond. */
   explicit prompt_queue(double aGuess = kDefaultTokensPerMicro)
     : mSpeed(aGuess)
   {
   }
 
-  /** Adds a prompt. */
+  /** Adds a prompt of @p aTokens tokens. */
   void Add(run_id aRun, double aTokens, instant aNow);
-  /** Notes that a prompt was read just now. @param aTook since the engine was asked. */
+  /** Records that a prompt was read just now. @param aTook time since the engine was asked. */
   void NoteRead(run_id aRun, duration aTook, instant aNow);
-  /** Takes out a prompt that is never read. */
+  /** Removes a prompt that won't be read. */
   void Drop(run_id aRun);
-  /** @return expected time until a newcomer of so many tokens is read. */
+  /** @return expected time until a new prompt of so many tokens has been read, including the queue.
+   */
   duration TimeFor(double aTokens, instant aNow) const;
   double TokensPerMicro() const { return mSpeed.TokensPerMicro(); }
 
 private:
-  /** A read under way, or one that waits. */
+  /** A read that runs or waits. */
   struct pending_read
   {
-    run_id mRun;          ///< Whose prompt it is.
-    double mTokens = 0.0; ///< Its length.
-    instant mSince{ 0 };  ///< When it was added.
+    run_id mRun;          ///< Run that the prompt belongs to.
+    double mTokens = 0.0; ///< Length of the prompt.
+    instant mSince{ 0 };  ///< Time at which it was added.
   };
 
   duration ReadTime(double aTokens) const;
 
-  read_speed mSpeed;                  ///< Of the engine.
-  std::vector<pending_read> mPending; ///< Reads whose end wasn't told yet.
-  instant mBusyUntil{ 0 };            ///< Expected end of all of them.
-  instant mLastRead{ 0 };             ///< When a read ended last.
+  read_speed mSpeed;                  ///< Measured speed of the engine.
+  std::vector<pending_read> mPending; ///< Reads whose end wasn't reported yet.
+  instant mBusyUntil{ 0 };            ///< Expected end of all pending reads.
+  instant mLastRead{ 0 };             ///< End of the last finished read.
 };
 
 } // namespace dunehook
--- a/src/placement/reading_pauses.cpp
+++ b/src/placement/reading_pauses.cpp
@@ -1,6 +1,6 @@
 /**
  * @file reading_pauses.cpp
- * Mean and deviation of the pauses.
+ * Moving mean and deviation of the pauses.
  */
 #include "placement/reading_pauses.h"
 
@@ -11,17 +11,21 @@
 
 namespace {
 
-/** Weight of the newest run. */
+/** Weight of the newest run, from the tenth on. */
 constexpr double kWeight = 0.1;
-/** Runs that are needed before their pauses count: one may have paused for another reason. */
+/** Number of runs needed before the mean is used: a single one may have paused for another reason.
+ */
 constexpr int kMinRuns = 3;
-/** Part of the longest pause in time that runs may come to: the rest is for the way to the caller.
+/** Share of the allowed pause that runs may reach at the engine; the rest is for the way to the
+ * caller.
  */
 constexpr double kMaxPauseShare = 0.85;
-/** A run that paused for so many times the mean was held up by something else, and counts for less.
+/** Longer pauses, as a multiple of the mean, are cut to this: something other than a read caused
+ * them.
  */
 constexpr double kMaxPauseFactor = 1.5;
-/** Without reads nothing is learned; after this they're tried again. */
+/** Measurements expire after this, so that reads are tried again: without reads nothing is learned.
+ */
 constexpr duration kRetention = std::chrono::seconds(20);
 
 } // namespace
--- a/src/placement/reading_pauses.h
+++ b/src/placement/reading_pauses.h
@@ -1,8 +1,9 @@
 /**
  * @file reading_pauses.h
- * What the runs of an engine suffer while it reads a prompt between their tokens: their events come
- * with longer pauses. How long depends on the engine's speed and on the pieces in which it reads,
- * which nobody tells, so it's learned from the runs beside which prompts were read. Pure.
+ * Pauses between events of the runs on a decode engine that also reads prompts. While it reads a
+ * prompt between their tokens, their events are delayed. By how much depends on the engine's speed
+ * and on the chunk size of its reads, which it doesn't report, so it's learned from the runs during
+ * which a prompt was read. Pure.
  */
 #pragma once
 
@@ -10,21 +11,21 @@
 
 namespace dunehook {
 
-/** The longest pauses of late. */
+/** Mean and deviation of the runs' longest pauses between events. */
 class reading_pauses
 {
 public:
-  /** Takes in a run that ended. @param aLongest pause between its events. */
+  /** Adds a finished run. @param aLongest longest pause between its events. */
   void Learn(duration aLongest, instant aNow);
-  /** @return whether runs most likely keep to the longest pause that is in time, or whether nothing
-   * is known of late, so that it may be tried. */
+  /** @return whether runs most likely stay within the allowed pause while their engine reads a
+   * prompt; true also without recent measurements, so that reads are tried again. */
   bool Fit(duration aAllowed, instant aNow) const;
 
 private:
-  double mMean = 0.0;        ///< Of the longest pauses, in microseconds.
-  double mDeviation = 0.0;   ///< Their mean distance from it, in microseconds.
-  int mRunCount = 0;         ///< Runs taken in since there was nothing to go by.
-  instant mLastLearned{ 0 }; ///< When the last was taken in.
+  double mMean = 0.0;        ///< Mean of the longest pauses, in microseconds.
+  double mDeviation = 0.0;   ///< Mean absolute deviation of the longest pauses, in microseconds.
+  int mRunCount = 0;         ///< Runs added since the measurements last expired.
+  instant mLastLearned{ 0 }; ///< Time of the last added run.
 };
 
 } // namespace dunehook
--- a/src/placement/refused_table.h
+++ b/src/placement/refused_table.h
@@ -1,7 +1,7 @@
 /**
  * @file refused_table.h
- * Prompts whose requests were refused lately, by any daemon. A caller that comes back with one has
- * waited already; to refuse it again costs it the answer.
+ * Prompts of requests that any daemon refused lately. A caller that retries with such a prompt has
+ * already waited, and a second refusal would leave it without an answer.
  */
 #pragma once
 
@@ -12,11 +12,12 @@
 
 namespace dunehook {
 
-/** The table. Prompts are known by the key of their own part, which is alike for all tries. */
+/** Recently refused prompts, by the hash of their request-specific part, which is the same in every
+ * attempt. */
 class refused_table
 {
 public:
-  /** Notes a refusal. A key of 0 means that the prompt can't be known again. */
+  /** Notes a refusal. A key of 0 is ignored: the prompt can't be recognized again. */
   void Note(std::uint64_t aKey, instant aNow)
   {
     if (aKey != 0) {
@@ -29,17 +30,18 @@
     const auto found = mRefused.find(aKey);
     return found != mRefused.end() && aNow - found->second < kRetention;
   }
-  /** Forgets old refusals; call it now and then. */
+  /** Drops expired refusals; to be called periodically. */
   void Prune(instant aNow)
   {
     std::erase_if(mRefused, [&](const auto& aRow) { return aNow - aRow.second >= kRetention; });
   }
 
 private:
-  /** Callers come back within a third of the time that they have left. */
+  /** Callers come back within a third of their remaining time, so older refusals needn't be kept.
+   */
   static constexpr duration kRetention = std::chrono::seconds(8);
 
-  std::unordered_map<std::uint64_t, instant> mRefused; ///< When, by key.
+  std::unordered_map<std::uint64_t, instant> mRefused; ///< Time of the refusal, by prompt key.
 };
 
 } // namespace dunehook
--- a/src/placement/retry_budget.h
+++ b/src/placement/retry_budget.h
@@ -1,7 +1,7 @@
 /**
  * @file retry_budget.h
- * Bounds the sends to a second runner. Daemons don't ask each other: each keeps to the share of its
- * own requests and to its part of the fixed allowance, so that all together keep to the whole.
+ * Limits the sends to a second runner. Daemons don't coordinate: each keeps to the share of its own
+ * requests and to its part of the fixed allowance, so that all together keep the limit.
  */
 #pragma once
 
@@ -9,15 +9,15 @@
 
 namespace dunehook {
 
-/** What all daemons together may repeat. */
+/** Limits on repeated sends for all daemons together. */
 struct retry_limits
 {
-  double mShare = 0.2;                         ///< Repeats for each request.
-  duration mWindow = std::chrono::seconds(10); ///< Window that the limit counts over.
-  double mAllowance = 50.0;                    ///< Repeats in a window beside the share.
+  double mShare = 0.2;                         ///< Repeats allowed per request.
+  duration mWindow = std::chrono::seconds(10); ///< Time over which the limit applies.
+  double mAllowance = 50.0; ///< Repeats allowed per window in addition to the share.
 };
 
-/** One daemon's part of the repeats of a service. */
+/** One daemon's budget of repeated sends to a service. */
 class retry_budget
 {
 public:
@@ -37,15 +37,15 @@
     mAllowanceBucket.Reshape(RateFor(aDaemons), BurstFor(aDaemons));
   }
 
-  /** Notes a request's first send. */
+  /** Records a request's first send, which earns a share of a repeat. */
   void NoteRequest()
   {
     mEarnedRepeats = std::min(mEarnedRepeats + kUsedLimitShare * mLimits.mShare, kMaxEarnedRepeats);
   }
 
   /**
-   * @param aSends sends to be made beyond those that the request may make anyway.
-   * @return whether they are allowed; they count as made.
+   * @param aSends sends beyond those that the request may make without budget.
+   * @return whether they are allowed; if so, they are taken off the budget.
    */
   bool Take(instant aNow, double aSends = 1.0)
   {
@@ -57,23 +57,26 @@
   }
 
 private:
-  /** Part of the limits used, since windows of daemons and service don't agree. */
+  /** Share of the limits that is used: the windows of the daemons and of the service aren't
+   * aligned. */
   static constexpr double kUsedLimitShare = 0.7;
-  /** Most repeats saved up from the share; more would be spent after the window that earned them.
+  /** Limit of the repeats saved up from the share; more would be spent after the window in which
+   * they were earned.
    */
   static constexpr double kMaxEarnedRepeats = 10.0;
 
-  /** @return a daemon's part of half the allowance, spread over the window. */
+  /** @return refill per second: a daemon's part of half the allowance, over the window. */
   double RateFor(double aDaemons) const { return BurstFor(aDaemons) / ToSeconds(mLimits.mWindow); }
-  /** @return a daemon's part of half the allowance, to be taken at once. */
+  /** @return burst: a daemon's part of half the allowance, available at once. */
   double BurstFor(double aDaemons) const
   {
     return kUsedLimitShare * mLimits.mAllowance / std::max(1.0, aDaemons) / 2.0;
   }
 
-  retry_limits mLimits;          ///< Of all daemons together.
-  double mEarnedRepeats = 0.0;   ///< Repeats saved up; within 0 and kMaxEarnedRepeats.
-  token_bucket mAllowanceBucket; ///< Part of the allowance: half at once, half over the window.
+  retry_limits mLimits;        ///< Limits of all daemons together.
+  double mEarnedRepeats = 0.0; ///< Repeats saved up; within 0 and kMaxEarnedRepeats.
+  /** This daemon's part of the allowance: half at once, half over the window. */
+  token_bucket mAllowanceBucket;
 };
 
 } // namespace dunehook
--- a/src/placement/return_plan.h
+++ b/src/placement/return_plan.h
@@ -1,10 +1,10 @@
 /**
  * @file return_plan.h
- * How long a request may wait for a place, and when a refused caller shall come back. A load that
- * is more than the engines' memory takes makes callers late whoever is served first. What is left
- * to decide is how many: whoever has just asked can still be in time, whoever has come back can't.
- * So places go to new callers first, and those that have come back wait for what is left, with a
- * claim that grows until it goes before that of new ones. Pure.
+ * How long a request may wait for a place, and when a refused caller should retry. When the load
+ * exceeds the engines' memory, some callers are late in any order; the order only decides how many.
+ * A new caller can still be in time, a returned one can't. Places therefore go to new callers
+ * first. Returned ones wait for the remaining places, and the memory margin asked for them falls
+ * during the wait until they take precedence over new ones. Pure.
  */
 #pragma once
 
@@ -14,27 +14,27 @@
 
 namespace dunehook {
 
-/** Part of the latency target in which a new request may wait for a place: what is left is enough
- * for the read, as long as its queue is short. */
+/** Share of the latency target that a new request may wait for a place: the rest is enough for the
+ * read, as long as the read queue is short. */
 inline constexpr double kNewWaitShare = 0.5;
-/** The same once an engine has refused a new request the place that it was given: what is known of
- * the engines is wrong, and so is what was expected of the wait. */
+/** The same once an engine has refused the reservation of a new request: the table's knowledge of
+ * the engines is wrong then, and so is the wait expected from it. */
 inline constexpr double kReservationRefusedWaitShare = 0.2;
-/** Longest wait of a request whose caller has come back: about the time of a run, in which each
- * engine's memory comes free once. */
+/** Longest wait of a returned caller's request: about the time of a run, in which each engine's
+ * memory becomes free once. */
 inline constexpr duration kMaxReturnedWait = std::chrono::seconds(3);
-/** Part of the time until its caller's deadline that a request may wait: the rest is for its run.
+/** Share of the time until the caller's deadline that a request may wait; the rest is for its run.
  */
 inline constexpr double kDeadlineShare = 0.33;
-/** Earliest time for a refused caller to come back, and the span over which callers are spread. */
+/** Shortest retry delay of a refused caller, and the span of the random delay added to it. */
 inline constexpr duration kMinRetryDelay = std::chrono::milliseconds(1500);
 inline constexpr duration kRetryDelaySpread = std::chrono::milliseconds(3000);
 
 /** How long a request may wait for a place. */
 struct place_wait
 {
-  duration mNew{ 0 };      ///< If its caller asks for the first time.
-  duration mReturned{ 0 }; ///< If its caller has come back.
+  duration mNew{ 0 };      ///< Limit for a new caller.
+  duration mReturned{ 0 }; ///< Limit for a returned caller.
 
   /** @param aTarget the route's latency target. @param aTimeLeft until the caller's deadline. */
   static place_wait Make(duration aTarget, duration aTimeLeft)
@@ -49,7 +49,7 @@
     return { std::min(mNew, FromSeconds(ToSeconds(aTarget) * kReservationRefusedWaitShare)),
              mReturned };
   }
-  /** @return what is left of it after a while. */
+  /** @return the remaining wait after @p aSpan. */
   place_wait After(duration aSpan) const
   {
     return { std::max(duration{ 0 }, mNew - aSpan), std::max(duration{ 0 }, mReturned - aSpan) };
@@ -59,7 +59,7 @@
   auto operator<=>(const place_wait&) const = default;
 };
 
-/** @return the part of a wait that is over; all of one that hasn't any length. */
+/** @return the elapsed share of a wait, 0 to 1; 1 if the wait is zero. */
 inline double
 WaitedShare(duration aSpent, duration aWait)
 {
@@ -68,8 +68,8 @@
 
 /**
  * @param aFreeIn expected time until there's a place.
- * @param aDraw a number from 0 up to 1 that spreads callers.
- * @return when a refused caller shall come back.
+ * @param aDraw a random number from 0 up to 1 that spreads the callers' retries.
+ * @return the delay after which a refused caller should retry.
  */
 inline duration
 RetryDelay(duration aFreeIn, double aDraw)
--- a/src/placement/size_balance.h
+++ b/src/placement/size_balance.h
@@ -1,8 +1,9 @@
 /**
  * @file size_balance.h
- * Keeps large and small requests in balance where memory is short. Large ones take up to ten times
- * the memory and time of a small one, so at a peak they leave room to others; but if far fewer of
- * them are served than of all, it's the small ones that leave room. Pure.
+ * Balances large and small requests when memory is short. A large request takes up to ten times the
+ * memory and time of a small one, so at a peak large ones leave a memory reserve to others. Once
+ * their service rate falls far behind the overall one, small requests leave the reserve instead.
+ * Pure.
  */
 #pragma once
 
@@ -10,11 +11,12 @@
 
 namespace dunehook {
 
-/** The balance. All daemons learn from the same placements and refusals, told by datagrams. */
+/** Service rates of all and of large requests. All daemons learn from the same placements and
+ * refusals, which they exchange by datagrams. */
 class size_balance
 {
 public:
-  /** Notes a placement, or a refusal. @param aSize what the request takes of memory and time. */
+  /** Records a placement or a refusal. @param aSize see RequestSize(). */
   void Note(double aSize, bool aServed)
   {
     const double served = aServed ? 1.0 : 0.0;
@@ -27,9 +29,10 @@
   }
 
   /**
-   * @param aSize what a request takes of memory and time.
-   * @return which part of the reserve it leaves free: 1 for the largest while they're served about
-   *   as often as others; 1 for requests below the mean where the large ones fall behind.
+   * @param aSize see RequestSize().
+   * @return factor of the memory reserve that the request leaves free: up to 1 for the largest
+   * while they are served about as often as others; up to kSmallRequestReserveFactor for requests
+   * below the mean once large ones fall behind.
    */
   double ReserveShareKept(double aSize) const
   {
@@ -42,30 +45,30 @@
     return lean >= 0.0 ? lean * place : -lean * (1.0 - place) * kSmallRequestReserveFactor;
   }
 
-  /** @return how often large requests are served, against all. */
+  /** @return service rate of large requests relative to that of all. */
   double Ratio() const { return mLargeServedShare / std::max(mServedShare, kMinServedShare); }
 
 private:
   bool IsLarge(double aSize) const { return aSize >= 2.0 * mMeanSize && mMeanSize > 0.0; }
 
-  /** A request of this many times the mean size beyond the mean counts as large in full. */
+  /** A request that exceeds the mean by this many times the mean counts fully as large. */
   static constexpr double kLargeFactor = 2.0;
-  /** Large requests are to be served at least this often against all; the users ask for a half. */
+  /** Target for Ratio(); the users require 0.5. */
   static constexpr double kFairRatio = 0.72;
-  /** The lean is full this far from the fair ratio. */
+  /** Distance from kFairRatio at which the reserve is applied in full. */
   static constexpr double kRatioSpan = 0.12;
-  /** Weights of the newest request: some hundred of all, some thirty large ones count. */
+  /** Weights of the newest request: about a hundred of all and thirty large ones count. */
   static constexpr double kSizeWeight = 0.03;
   static constexpr double kServedWeight = 0.01;
   static constexpr double kLargeServedWeight = 0.03;
-  /** Small requests leave this many times the reserve: a large one needs room all at once. */
+  /** Small requests leave this many times the reserve, as a large one needs its room at once. */
   static constexpr double kSmallRequestReserveFactor = 3.0;
-  /** Below this share served the ratio says little. */
+  /** Lower bound of the divisor in Ratio(), which is meaningless when almost nothing is served. */
   static constexpr double kMinServedShare = 0.05;
 
-  double mMeanSize = 0.0;         ///< Of all requests; 0 until one was seen.
-  double mServedShare = 1.0;      ///< Share of all that were served, of late.
-  double mLargeServedShare = 1.0; ///< Share of the large ones that were served, of late.
+  double mMeanSize = 0.0;         ///< Mean size of all requests; 0 until the first one.
+  double mServedShare = 1.0;      ///< Moving average: share of all requests served.
+  double mLargeServedShare = 1.0; ///< Moving average: share of large requests served.
 };
 
 } // namespace dunehook
