--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -25,8 +25,9 @@
 
 namespace dunehook {
 
-/** @return the record of a run placed by @p aChoice. @param aDaemon daemon that placed it; 0 is
- * this one.
+/**
+ * @param aDaemon daemon that placed it; 0 is this one.
+ * @return the record of a run that is placed by @p aChoice.
  */
 run_record
 RunOf(const generation_demand& aDemand,
@@ -91,9 +92,8 @@
   {
     double mMicrosPerToken = 800.0; ///< Time for a token of one run; a default until measured.
     instant mFullUntil{ 0 };        ///< End of its back-off after a refused reservation.
-    duration mFullBackoff{ /** Length of the last back-off; zero once a reservation is accepted. */
-                           0
-    };
+    /** Length of the last back-off; zero once a reservation is accepted. */
+    duration mFullBackoff{ 0 };
     instant mReadsUntil{ 0 }; ///< Expected end of the last prompt read that it was given.
   };
   /** The runs of a decode engine. */
