--- a/src/placement/placement_queue.cpp
+++ b/src/placement/placement_queue.cpp
@@ -9,57 +9,57 @@
 namespace dunehook {
 
 place_reply
-placement_queue::Take(const place_request& aQuestion,
+placement_queue::Take(const place_request& aRequest,
                       std::uint64_t aDaemon,
                       const endpoint& aFrom,
                       instant aNow)
 {
-  Withdraw(aQuestion.mDemand.mRun);
-  waiting_question question{ aQuestion, aDaemon, aFrom, aNow };
-  generation_demand& demand = question.mQuestion.mDemand;
-  demand.mReturned = demand.mReturned || mRefused.Contains(aQuestion.mPromptKey, aNow);
-  const duration most = aQuestion.mWait.Of(demand.mReturned);
-  question.mWaitsFor = ExpectsPlaceWithin(question, most, aNow) ? most : duration{ 0 };
+  Withdraw(aRequest.mDemand.mRun);
+  queued_request request{ aRequest, aDaemon, aFrom, aNow };
+  generation_demand& demand = request.mRequest.mDemand;
+  demand.mReturned = demand.mReturned || mRefused.Contains(aRequest.mPromptKey, aNow);
+  const duration most = aRequest.mWait.Of(demand.mReturned);
+  request.mWaitsFor = ExpectsPlaceWithin(request, most, aNow) ? most : duration{ 0 };
   // Tried at once, even while others wait: room that is too small for them may be enough for a
   // smaller request. Memory that becomes free is offered to queued requests within one tick.
-  const bool waits = question.mWaitsFor > duration{ 0 };
-  place_reply reply = Try(question, aNow, !waits);
+  const bool waits = request.mWaitsFor > duration{ 0 };
+  place_reply reply = Try(request, aNow, !waits);
   if (reply.mState == place_state::eNone && waits) {
     reply.mState = place_state::eQueued;
-    reply.mWaitsFor = question.mWaitsFor;
-    const auto before = std::upper_bound(mWaiting.begin(), mWaiting.end(), question, GoesBefore);
-    mWaiting.insert(before, question);
+    reply.mWaitsFor = request.mWaitsFor;
+    const auto before = std::upper_bound(mWaiting.begin(), mWaiting.end(), request, GoesBefore);
+    mWaiting.insert(before, request);
   }
   return reply;
 }
 
 bool
-placement_queue::ExpectsPlaceWithin(const waiting_question& aQuestion,
+placement_queue::ExpectsPlaceWithin(const queued_request& aRequest,
                                     duration aWait,
                                     instant aNow) const
 {
-  const auto last = std::upper_bound(mWaiting.begin(), mWaiting.end(), aQuestion, GoesBefore);
+  const auto last = std::upper_bound(mWaiting.begin(), mWaiting.end(), aRequest, GoesBefore);
   const auto ahead = static_cast<double>(last - mWaiting.begin());
   const double given = mPlaced.PerSecond(aNow) * ToSeconds(aWait);
   return ahead < std::max(kMinQueueAllowance, kExpectedPlacesShare * given);
 }
 
 bool
-placement_queue::GoesBefore(const waiting_question& aOne, const waiting_question& aTwo)
+placement_queue::GoesBefore(const queued_request& aOne, const queued_request& aTwo)
 {
-  if (aOne.mQuestion.mRank != aTwo.mQuestion.mRank) {
-    return aOne.mQuestion.mRank < aTwo.mQuestion.mRank;
+  if (aOne.mRequest.mRank != aTwo.mRequest.mRank) {
+    return aOne.mRequest.mRank < aTwo.mRequest.mRank;
   }
-  return !aOne.mQuestion.mDemand.mReturned && aTwo.mQuestion.mDemand.mReturned;
+  return !aOne.mRequest.mDemand.mReturned && aTwo.mRequest.mDemand.mReturned;
 }
 
 std::vector<addressed_reply>
 placement_queue::Tick(instant aNow)
 {
   std::vector<addressed_reply> replies;
-  std::vector<waiting_question> left;
+  std::vector<queued_request> left;
   std::size_t tries = 0;
-  for (waiting_question& one : mWaiting) {
+  for (queued_request& one : mWaiting) {
     const bool over = aNow - one.mAsked >= one.mWaitsFor;
     if (!over && tries >= kMaxAttemptsPerTick) {
       left.push_back(std::move(one));
@@ -81,17 +81,17 @@
 placement_queue::Withdraw(run_id aRun)
 {
   std::erase_if(mWaiting,
-                [&](const waiting_question& aOne) { return aOne.mQuestion.mDemand.mRun == aRun; });
+                [&](const queued_request& aOne) { return aOne.mRequest.mDemand.mRun == aRun; });
 }
 
 place_reply
-placement_queue::Try(const waiting_question& aWaiting, instant aNow, bool aLast)
+placement_queue::Try(const queued_request& aWaiting, instant aNow, bool aLast)
 {
-  const place_request& question = aWaiting.mQuestion;
-  generation_demand demand = question.mDemand;
+  const place_request& request = aWaiting.mRequest;
+  generation_demand demand = request.mDemand;
   place_reply reply;
   reply.mRun = demand.mRun;
-  reply.mRound = question.mRound;
+  reply.mRound = request.mRound;
   const std::optional<engine_traits> traits = mTraits(demand.mService);
   if (!traits) {
     return reply;
--- a/src/placement/placement_queue.h
+++ b/src/placement/placement_queue.h
@@ -58,7 +58,7 @@
    * @param aDaemon the requesting daemon in the table of runs; 0 is this daemon.
    * @return the reply, which may be that the request is queued.
    */
-  place_reply Take(const place_request& aQuestion,
+  place_reply Take(const place_request& aRequest,
                    std::uint64_t aDaemon,
                    const endpoint& aFrom,
                    instant aNow);
@@ -72,9 +72,9 @@
 
 private:
   /** A queued request. */
-  struct waiting_question
+  struct queued_request
   {
-    place_request mQuestion;   ///< The request as received.
+    place_request mRequest;    ///< The request as received.
     std::uint64_t mDaemon = 0; ///< The requesting daemon in the table of runs.
     endpoint mFrom;            ///< Address of the requesting daemon.
     instant mAsked{ 0 };       ///< Time of arrival.
@@ -83,20 +83,20 @@
 
   /** @return whether a request would get a place within @p aWait at the recent rate of placements.
    */
-  bool ExpectsPlaceWithin(const waiting_question& aQuestion, duration aWait, instant aNow) const;
+  bool ExpectsPlaceWithin(const queued_request& aRequest, duration aWait, instant aNow) const;
   /** Order of the queue: the most urgent first, then new callers, which can still be in time. */
-  static bool GoesBefore(const waiting_question& aOne, const waiting_question& aTwo);
+  static bool GoesBefore(const queued_request& aOne, const queued_request& aTwo);
 
   /** Tries to place a request once. @param aLast whether the caller needs the time until there's a
    * place. */
-  place_reply Try(const waiting_question& aWaiting, instant aNow, bool aLast);
+  place_reply Try(const queued_request& aWaiting, instant aNow, bool aLast);
 
-  placement_table& mPlacement;            ///< Table of all runs.
-  runner_table& mRunners;                 ///< Table of all engines.
-  const refused_table& mRefused;          ///< Prompts refused lately by any daemon.
-  traits_lookup mTraits;                  ///< Looks up the engine traits of a service.
-  std::vector<waiting_question> mWaiting; ///< Queued requests in the order of GoesBefore().
-  event_rate mPlaced;                     ///< Rate of placements.
+  placement_table& mPlacement;          ///< Table of all runs.
+  runner_table& mRunners;               ///< Table of all engines.
+  const refused_table& mRefused;        ///< Prompts refused lately by any daemon.
+  traits_lookup mTraits;                ///< Looks up the engine traits of a service.
+  std::vector<queued_request> mWaiting; ///< Queued requests in the order of GoesBefore().
+  event_rate mPlaced;                   ///< Rate of placements.
 };
 
 } // namespace dunehook
--- a/tests/support/load_engines.cpp
+++ b/tests/support/load_engines.cpp
@@ -64,10 +64,10 @@
     }
     // The newest gives way, is read again, and goes on: it counts once.
     for (auto run = runs.rbegin(); run != runs.rend() && held > kEngineMemory; ++run) {
-      step.mPutBack += run->mPutBack ? 0 : 1;
+      step.mPreempted += run->mPreempted ? 0 : 1;
       held -= run->mPrompt + run->Made(aNow);
-      run->mPutBack = true;
-      run->mFrom = aNow + kReadAnew;
+      run->mPreempted = true;
+      run->mFrom = aNow + kPreemptedReadTime;
     }
     for (const load_run& run : runs) {
       const double made = run.Made(aNow);
@@ -87,7 +87,7 @@
 load_draw::Next(double& aAnswer)
 {
   generation_demand demand;
-  aAnswer = std::min(kMostAnswer, Draw(kAnswer, kAnswerSpread));
+  aAnswer = std::min(kMaxAnswer, Draw(kAnswer, kAnswerSpread));
   demand.mRun = { ++mIds };
   demand.mService = "tutor";
   demand.mModel = "m";
@@ -95,7 +95,7 @@
   demand.mPromptTokens = static_cast<std::uint32_t>(Draw(kPrompt, kPromptSpread));
   demand.mAnswerTokens =
     static_cast<std::uint32_t>(aAnswer * std::exp(kGuessSpread * Normal())) + 1;
-  demand.mMostTokens = static_cast<std::uint32_t>(kMostAnswer);
+  demand.mMostTokens = static_cast<std::uint32_t>(kMaxAnswer);
   demand.mEventGap = 300ms;
   demand.mFirstEventWithin = 870ms;
   return demand;
--- a/tests/support/load_engines.h
+++ b/tests/support/load_engines.h
@@ -26,19 +26,19 @@
 inline constexpr double kPromptSpread = 0.5;
 inline constexpr double kAnswer = 4416.0;
 inline constexpr double kAnswerSpread = 0.7;
-inline constexpr double kMostAnswer = 10880.0;
+inline constexpr double kMaxAnswer = 10880.0;
 inline constexpr double kGuessSpread = 0.5;
 /** A run that was put back is read anew for so long. */
-inline constexpr duration kReadAnew = std::chrono::milliseconds(200);
+inline constexpr duration kPreemptedReadTime = std::chrono::milliseconds(200);
 
 /** A run on an engine. */
 struct load_run
 {
-  run_id mRun;           ///< Its id.
-  double mPrompt = 0.0;  ///< Tokens held from the start.
-  double mAnswer = 0.0;  ///< Tokens that it will make.
-  instant mFrom{ 0 };    ///< When it generates.
-  bool mPutBack = false; ///< It was put back once.
+  run_id mRun;             ///< Its id.
+  double mPrompt = 0.0;    ///< Tokens held from the start.
+  double mAnswer = 0.0;    ///< Tokens that it will make.
+  instant mFrom{ 0 };      ///< When it generates.
+  bool mPreempted = false; ///< It was put back once.
 
   double Made(instant aNow) const
   {
@@ -51,7 +51,7 @@
 struct engine_step
 {
   std::vector<load_run> mEnded; ///< Runs that are done.
-  int mPutBack = 0;             ///< Runs put back for the first time.
+  int mPreempted = 0;           ///< Runs put back for the first time.
 };
 
 /** The engines. */
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -132,7 +132,7 @@
   CHECK(answer.mReason == no_place::eNoEngine);
 }
 
-TEST(placement, ReadsElsewhereWhereAPrefillEngineIsFree)
+TEST(placement, APromptIsReadByAFreePrefillEngine)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   const placement_answer answer = Choose(Demand(1));
@@ -153,7 +153,7 @@
   CHECK(answer.mFreeIn > 0ms);
 }
 
-TEST(placement, RunsOfOtherDaemonsCountAndTheirEndGivesRoom)
+TEST(placement, RunsOfOtherDaemonsUseMemoryUntilTheyEnd)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   std::vector<run_record> theirs;
@@ -203,7 +203,7 @@
 // Five reads wait at an engine that is slower than expected. Each ends late by the same delay as
 // the one before it and its own: taking the delays off one by one made the queue's end wrong by
 // seconds.
-TEST(placement, AQueueOfReadsIsAsLongAsWhatIsLeftOfIt)
+TEST(placement, DelaysOfFinishedReadsDoNotAddUpInTheReadQueue)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   for (std::uint64_t run = 1; run <= 5; ++run) {
@@ -221,7 +221,7 @@
   CHECK(answer.mChoice->mUntilRead < 320ms);
 }
 
-TEST(placement, AReadThatIsNeverDoneLeavesTheQueue)
+TEST(placement, AReadThatNeverHappensLeavesTheReadQueue)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   for (std::uint64_t run = 1; run <= 12; ++run) {
@@ -304,7 +304,7 @@
   CHECK(Choose(Demand(1)).mChoice->mPrefill == RunnerIdOf("q"));
 }
 
-TEST(placement, AnEngineThatSaidItIsFullRests)
+TEST(placement, AnEngineThatRefusedAReservationBacksOff)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   mPlacement.NoteFull(RunnerIdOf("d"), kNow);
@@ -312,7 +312,7 @@
   CHECK(Choose(Demand(1), kNow + 61ms).mChoice.has_value());
 }
 
-TEST(placement, AnEngineThatBeganAnewHasNoneOfTheRunsPromisedBefore)
+TEST(placement, ARestartedEngineHoldsNoRunsPlacedBefore)
 {
   runner_entry former = Engine("d", engine_role::eDecode);
   former.mBorn = 100;
@@ -332,7 +332,7 @@
   CHECK_TRUE(Choose(Demand(run + 2)).mChoice.has_value());
 }
 
-TEST(placement, AnEngineThatGoesOnSayingItIsFullRestsLonger)
+TEST(placement, AnEngineThatKeepsRefusingBacksOffLonger)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   const service_runner_id engine = RunnerIdOf("d");
@@ -352,7 +352,7 @@
   CHECK(Choose(Demand(1), kNow + 20s + 61ms).mChoice.has_value());
 }
 
-TEST(placement, TheClaimOfACallerThatHasComeBackGrowsWhileItWaits)
+TEST(placement, AReturnedCallerNeedsLessMemoryMarginTheLongerItWaits)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   Fill();
@@ -392,7 +392,7 @@
   CHECK_FALSE(Choose(Demand(++mRuns)).mChoice.has_value());
 }
 
-TEST(placement, RunsNobodyEndsAreForgotten)
+TEST(placement, RunsWithoutAReportedEndAreDropped)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   run_record run;
@@ -449,7 +449,7 @@
 
 TEST_GROUP(forecast){};
 
-TEST(forecast, ARunCountsLessTheLongerItHasOutlivedItsGuess)
+TEST(forecast, ARunCountsLessTheMoreItExceedsItsEstimate)
 {
   const answer_length_model model;
   const forecast_run none;
@@ -471,7 +471,7 @@
   CHECK(forecast.Peak(newcomer, 2.0) > forecast.Peak(newcomer, 0.0) + 5000);
 }
 
-TEST(forecast, GuessesAreLearned)
+TEST(forecast, TheBiasOfEstimatesIsLearned)
 {
   answer_length_model model;
   for (int i = 0; i < 400; ++i) {
--- a/tests/unit/placing_return_test.cpp
+++ b/tests/unit/placing_return_test.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr duration kStep = 5ms;
-constexpr duration kDeskEvery = 15ms;
+constexpr duration kQueueTickInterval = 15ms;
 constexpr duration kTarget = 900ms;
 /** How long new and returned callers waited where the returned ones went first. */
 constexpr duration kFormerWait = 180ms;
@@ -38,13 +38,13 @@
 /** What callers got. */
 struct return_outcome
 {
-  int mAsked = 0;    ///< Callers.
-  int mInTime = 0;   ///< First event in time, and never put back.
-  int mLate = 0;     ///< Served, but late, or with a long pause.
-  int mNone = 0;     ///< Refused for good.
-  int mReturned = 0; ///< Refused once, and came back.
-  int mInVain = 0;   ///< Times that a caller waited over an eighth of the target for a refusal.
-  int mPutBack = 0;  ///< Runs put back for want of memory.
+  int mAsked = 0;     ///< Callers.
+  int mInTime = 0;    ///< First event in time, and never put back.
+  int mLate = 0;      ///< Served, but late, or with a long pause.
+  int mNone = 0;      ///< Refused for good.
+  int mReturned = 0;  ///< Refused once, and came back.
+  int mInVain = 0;    ///< Times that a caller waited over an eighth of the target for a refusal.
+  int mPreempted = 0; ///< Runs put back for want of memory.
 
   /** @return what callers got of the best: a late answer is worth a fifth of one in time. */
   double Worth() const { return (mInTime + 0.2 * mLate) / mAsked; }
@@ -53,22 +53,22 @@
 /** A caller. */
 struct load_caller
 {
-  place_request mQuestion; ///< As it asks.
-  double mAnswer = 0.0;    ///< Tokens that it will get.
-  instant mFirst{ 0 };     ///< When it asked first.
-  instant mAsked{ 0 };     ///< When it asked last.
-  instant mNext{ 0 };      ///< When it asks again.
-  bool mReturned = false;  ///< It was refused before.
+  place_request mRequest; ///< As it asks.
+  double mAnswer = 0.0;   ///< Tokens that it will get.
+  instant mFirst{ 0 };    ///< When it asked first.
+  instant mAsked{ 0 };    ///< When it asked last.
+  instant mNext{ 0 };     ///< When it asks again.
+  bool mReturned = false; ///< It was refused before.
 };
 
 /** The player. */
 class return_player
 {
 public:
-  return_player(const load_shape& aShape, bool aFormer)
+  return_player(const load_shape& aShape, bool aReturnedFirst)
     : mShape(aShape)
-    , mFormer(aFormer)
-    , mTable(aFormer ? FormerTuning() : placement_tuning{})
+    , mReturnedFirst(aReturnedFirst)
+    , mTable(aReturnedFirst ? ReturnedFirstTuning() : placement_tuning{})
     , mPlaceQueue(mTable, mRunners, mRefused, [](const std::string&) {
       return std::optional(load_engines::Traits());
     })
@@ -81,20 +81,20 @@
     for (instant now = kStep; now < mShape.mEnd + kLimit; now += kStep) {
       Arrive(now);
       ComeBack(now);
-      if (now % kDeskEvery == duration{ 0 }) {
+      if (now % kQueueTickInterval == duration{ 0 }) {
         for (const addressed_reply& reply : mPlaceQueue.Tick(now)) {
           Take(reply.mReply, now);
         }
       }
       Generate(now);
     }
-    mOutcome.mNone += static_cast<int>(mAsking.size() + mAway.size());
+    mOutcome.mNone += static_cast<int>(mAsking.size() + mRefusedCallers.size());
     return mOutcome;
   }
 
 private:
   /** Who has come back needs less room from the start. */
-  static placement_tuning FormerTuning()
+  static placement_tuning ReturnedFirstTuning()
   {
     placement_tuning tuning;
     tuning.mReturnedReserve = -tuning.mReturnedCredit;
@@ -108,8 +108,8 @@
     const int count = mDraw.Count(rate * ToSeconds(kStep));
     for (int index = 0; index < count; ++index) {
       load_caller caller;
-      caller.mQuestion.mDemand = mDraw.Next(caller.mAnswer);
-      caller.mQuestion.mPromptKey = caller.mQuestion.mDemand.mRun.mValue;
+      caller.mRequest.mDemand = mDraw.Next(caller.mAnswer);
+      caller.mRequest.mPromptKey = caller.mRequest.mDemand.mRun.mValue;
       caller.mFirst = aNow;
       ++mOutcome.mAsked;
       Ask(caller, aNow);
@@ -118,28 +118,28 @@
 
   void ComeBack(instant aNow)
   {
-    for (auto away = mAway.begin(); away != mAway.end();) {
+    for (auto away = mRefusedCallers.begin(); away != mRefusedCallers.end();) {
       if (away->mNext > aNow) {
         ++away;
         continue;
       }
       load_caller caller = *away;
-      away = mAway.erase(away);
+      away = mRefusedCallers.erase(away);
       caller.mReturned = true;
-      caller.mQuestion.mDemand.mFirstEventWithin = 870ms;
+      caller.mRequest.mDemand.mFirstEventWithin = 870ms;
       Ask(caller, aNow);
     }
   }
 
   void Ask(load_caller aCaller, instant aNow)
   {
-    aCaller.mQuestion.mWait = place_wait::Make(kTarget, kLimit - (aNow - aCaller.mFirst));
-    if (mFormer) {
-      aCaller.mQuestion.mWait.mNew = kFormerWait;
-      aCaller.mQuestion.mWait.mReturned = kFormerWait;
+    aCaller.mRequest.mWait = place_wait::Make(kTarget, kLimit - (aNow - aCaller.mFirst));
+    if (mReturnedFirst) {
+      aCaller.mRequest.mWait.mNew = kFormerWait;
+      aCaller.mRequest.mWait.mReturned = kFormerWait;
     }
     aCaller.mAsked = aNow;
-    const place_reply reply = mPlaceQueue.Take(aCaller.mQuestion, 1, {}, aNow);
+    const place_reply reply = mPlaceQueue.Take(aCaller.mRequest, 1, {}, aNow);
     mAsking[reply.mRun] = aCaller;
     Take(reply, aNow);
   }
@@ -163,18 +163,18 @@
       ++mOutcome.mNone;
       return;
     }
-    const generation_demand& demand = caller.mQuestion.mDemand;
+    const generation_demand& demand = caller.mRequest.mDemand;
     mTable.NoteRefused(demand.mPromptTokens, demand.mAnswerTokens);
-    mRefused.Note(caller.mQuestion.mPromptKey, aNow);
+    mRefused.Note(caller.mRequest.mPromptKey, aNow);
     ++mOutcome.mReturned;
     load_caller away = caller;
     away.mNext = aNow + RetryDelay(aReply.mFreeIn, mDraw.Share());
-    mAway.push_back(away);
+    mRefusedCallers.push_back(away);
   }
 
   bool Reserve(const load_caller& aCaller, const placement_choice& aChoice, instant aNow)
   {
-    const generation_demand& demand = aCaller.mQuestion.mDemand;
+    const generation_demand& demand = aCaller.mRequest.mDemand;
     load_run run;
     run.mRun = demand.mRun;
     run.mPrompt = demand.mPromptTokens;
@@ -191,16 +191,16 @@
   void Generate(instant aNow)
   {
     const engine_step step = mEngines.Step(mTable, aNow);
-    mOutcome.mPutBack += step.mPutBack;
+    mOutcome.mPreempted += step.mPreempted;
     for (const load_run& run : step.mEnded) {
-      const bool inTime = mInTime.at(run.mRun) && !run.mPutBack;
+      const bool inTime = mInTime.at(run.mRun) && !run.mPreempted;
       mOutcome.mInTime += inTime ? 1 : 0;
       mOutcome.mLate += inTime ? 0 : 1;
     }
   }
 
   load_shape mShape;                               ///< The load.
-  bool mFormer;                                    ///< Who has come back goes first, as formerly.
+  bool mReturnedFirst;                             ///< Who has come back goes first, as formerly.
   runner_table mRunners;                           ///< The engines' entries.
   placement_table mTable;                          ///< All runs.
   refused_table mRefused;                          ///< Refused prompts.
@@ -209,14 +209,14 @@
   load_draw mDraw;                                 ///< The callers.
   return_outcome mOutcome;                         ///< So far.
   std::unordered_map<run_id, load_caller> mAsking; ///< They wait for an answer.
-  std::vector<load_caller> mAway;                  ///< Refused; they come back.
+  std::vector<load_caller> mRefusedCallers;        ///< Refused; they come back.
   std::unordered_map<run_id, bool> mInTime;        ///< Runs: is the first event in time?
 };
 
 return_outcome
-Play(const std::string& aName, const load_shape& aShape, bool aFormer)
+Play(const std::string& aName, const load_shape& aShape, bool aReturnedFirst)
 {
-  const return_outcome got = return_player(aShape, aFormer).Play();
+  const return_outcome got = return_player(aShape, aReturnedFirst).Play();
   printf(
     "%s: asked %d in time %d late %d none %d, came back %d, in vain %d, put back %d, worth %.3f\n",
     aName.c_str(),
@@ -226,7 +226,7 @@
     got.mNone,
     got.mReturned,
     got.mInVain,
-    got.mPutBack,
+    got.mPreempted,
     got.Worth());
   return got;
 }
@@ -236,7 +236,7 @@
 TEST_GROUP(placing_return){};
 
 // A burst of 2.2 times what the engines take, and a load after it that leaves them a third.
-TEST(placing_return, AfterABurstNewCallersAreServedInTimeAndThoseThatComeBackToo)
+TEST(placing_return, AfterABurstNewCallersAreServedInTimeAndReturnedOnesToo)
 {
   const return_outcome former = Play("returned first", {}, true);
   const return_outcome now = Play("new first", {}, false);
@@ -248,7 +248,7 @@
 
 // With little left after the burst, callers that came back took the places of new ones, which were
 // refused and came back in their turn, for as long as the load lasted.
-TEST(placing_return, ACrowdThatComesBackDoesNotMakeTheNextCallersLate)
+TEST(placing_return, ManyReturnedCallersDoNotMakeNewOnesLate)
 {
   load_shape shape;
   shape.mRate = 72.0;
--- a/tests/unit/placing_test.cpp
+++ b/tests/unit/placing_test.cpp
@@ -40,15 +40,15 @@
 }
 
 place_request
-Question(std::uint64_t aRun, std::uint32_t aRank = 1)
+Request(std::uint64_t aRun, std::uint32_t aRank = 1)
 {
-  place_request question;
-  question.mDaemon = 70;
-  question.mRound = 3;
-  question.mRank = aRank;
-  question.mPromptKey = 1000 + aRun;
-  question.mWait.mNew = 180ms;
-  generation_demand& demand = question.mDemand;
+  place_request request;
+  request.mDaemon = 70;
+  request.mRound = 3;
+  request.mRank = aRank;
+  request.mPromptKey = 1000 + aRun;
+  request.mWait.mNew = 180ms;
+  generation_demand& demand = request.mDemand;
   demand.mRun = { aRun };
   demand.mService = "tutor";
   demand.mModel = "m";
@@ -60,7 +60,7 @@
   demand.mExcluded = { { 6 } };
   demand.mEventGap = 300ms;
   demand.mFirstEventWithin = 850ms;
-  return question;
+  return request;
 }
 
 } // namespace
@@ -75,9 +75,9 @@
     mRunners.Apply(listing, kNow, false);
   }
 
-  place_reply Ask(const place_request& aQuestion, instant aNow = kNow)
+  place_reply Ask(const place_request& aRequest, instant aNow = kNow)
   {
-    return mPlaceQueue.Take(aQuestion, aQuestion.mDaemon, kAsker, aNow);
+    return mPlaceQueue.Take(aRequest, aRequest.mDaemon, kAsker, aNow);
   }
 
   runner_table mRunners;      ///< One engine that reads, and one that generates.
@@ -89,18 +89,18 @@
                               } };
 };
 
-TEST(placing, APlaceIsTakenAsItIsGiven)
+TEST(placing, APlacementIsRecordedAtOnce)
 {
-  CHECK(Ask(Question(1)).mState == place_state::ePlaced);
+  CHECK(Ask(Request(1)).mState == place_state::ePlaced);
   LONGS_EQUAL(1, mPlacement.RunCount());
-  CHECK(Ask(Question(2)).mState == place_state::eQueued);
+  CHECK(Ask(Request(2)).mState == place_state::eQueued);
   LONGS_EQUAL(1, mPlaceQueue.Waiting());
 }
 
-TEST(placing, WhoeverWaitsIsPlacedOnceThereIsRoom)
+TEST(placing, AQueuedRequestIsPlacedOnceThereIsRoom)
 {
-  Ask(Question(1));
-  Ask(Question(2));
+  Ask(Request(1));
+  Ask(Request(2));
   LONGS_EQUAL(0, mPlaceQueue.Tick(kNow + 20ms).size());
   mPlacement.End({ 1 });
   const std::vector<addressed_reply> replies = mPlaceQueue.Tick(kNow + 40ms);
@@ -114,10 +114,10 @@
 
 TEST(placing, TheMostUrgentIsPlacedFirstAndThenTheOneThatWaitsLongest)
 {
-  Ask(Question(1, 0));
-  Ask(Question(2, 1));
-  Ask(Question(3, 1));
-  Ask(Question(4, 0));
+  Ask(Request(1, 0));
+  Ask(Request(2, 1));
+  Ask(Request(3, 1));
+  Ask(Request(4, 0));
   mPlacement.End({ 1 });
   const std::vector<addressed_reply> first = mPlaceQueue.Tick(kNow + 20ms);
   LONGS_EQUAL(1, first.size());
@@ -129,16 +129,16 @@
 }
 
 // Whoever has just asked can still be in time; whoever has come back can't, but gets its place too.
-TEST(placing, NewCallersGoBeforeThoseThatHaveComeBack)
+TEST(placing, NewCallersArePlacedBeforeReturnedOnes)
 {
-  Ask(Question(1));
-  place_request back = Question(2);
+  Ask(Request(1));
+  place_request back = Request(2);
   back.mDemand.mReturned = true;
   back.mWait.mReturned = 3s;
   const place_reply queued = Ask(back);
   CHECK(queued.mState == place_state::eQueued);
   CHECK(queued.mWaitsFor == 3s);
-  Ask(Question(3), kNow + 10ms);
+  Ask(Request(3), kNow + 10ms);
   mPlacement.End({ 1 });
   const std::vector<addressed_reply> first = mPlaceQueue.Tick(kNow + 20ms);
   LONGS_EQUAL(1, first.size());
@@ -151,11 +151,11 @@
 }
 
 // An urgent kind of request goes first, also where its caller has come back.
-TEST(placing, TheMoreUrgentKindGoesFirstAlsoIfItHasComeBack)
+TEST(placing, AMoreUrgentRouteGoesFirstEvenForAReturnedCaller)
 {
-  Ask(Question(1));
-  Ask(Question(2, 1));
-  place_request urgent = Question(3, 0);
+  Ask(Request(1));
+  Ask(Request(2, 1));
+  place_request urgent = Request(3, 0);
   urgent.mDemand.mReturned = true;
   urgent.mWait.mReturned = 150ms;
   Ask(urgent);
@@ -166,31 +166,31 @@
 }
 
 // A queue longer than what is placed meanwhile would hold callers for a refusal.
-TEST(placing, WhoeverWouldWaitInVainIsRefusedAtOnce)
+TEST(placing, ARequestThatWouldWaitInVainIsRefusedAtOnce)
 {
-  Ask(Question(1));
+  Ask(Request(1));
   std::uint64_t next = 2;
-  while (Ask(Question(next)).mState == place_state::eQueued && next < 100) {
+  while (Ask(Request(next)).mState == place_state::eQueued && next < 100) {
     ++next;
   }
-  LONGS_EQUAL(10, next);                                      // Eight wait.
-  CHECK(Ask(Question(50, 0)).mState == place_state::eQueued); // It goes before them.
-  const place_reply refused = Ask(Question(51));
+  LONGS_EQUAL(10, next);                                     // Eight wait.
+  CHECK(Ask(Request(50, 0)).mState == place_state::eQueued); // It goes before them.
+  const place_reply refused = Ask(Request(51));
   CHECK(refused.mState == place_state::eNone);
   CHECK(refused.mFreeIn > duration{ 0 });
 }
 
-TEST(placing, AFastServiceLetsMoreCallersWait)
+TEST(placing, AHighPlacementRateLetsMoreRequestsWait)
 {
   for (std::uint64_t run = 1; run <= 100; ++run) {
     const instant at = kNow + 10ms * static_cast<int>(run);
-    CHECK(Ask(Question(run), at).mState == place_state::ePlaced);
+    CHECK(Ask(Request(run), at).mState == place_state::ePlaced);
     mPlacement.End({ run });
   }
   const instant full = kNow + 1010ms;
-  Ask(Question(101), full);
+  Ask(Request(101), full);
   int waiting = 0;
-  while (waiting < 100 && Ask(Question(200 + static_cast<std::uint64_t>(waiting)), full).mState ==
+  while (waiting < 100 && Ask(Request(200 + static_cast<std::uint64_t>(waiting)), full).mState ==
                             place_state::eQueued) {
     ++waiting;
   }
@@ -199,10 +199,10 @@
   CHECK(waiting <= 12);
 }
 
-TEST(placing, WhoeverFindsNoRoomInItsTimeIsToldAtItsEnd)
+TEST(placing, ARequestWithoutAPlaceIsAnsweredAtTheEndOfItsWait)
 {
-  Ask(Question(1));
-  Ask(Question(2));
+  Ask(Request(1));
+  Ask(Request(2));
   LONGS_EQUAL(0, mPlaceQueue.Tick(kNow + 170ms).size());
   const std::vector<addressed_reply> replies = mPlaceQueue.Tick(kNow + 180ms);
   LONGS_EQUAL(1, replies.size());
@@ -212,60 +212,60 @@
   LONGS_EQUAL(0, mPlaceQueue.Waiting());
 }
 
-TEST(placing, WhoeverMayNotWaitIsToldAtOnce)
+TEST(placing, ARequestThatMayNotWaitIsAnsweredAtOnce)
 {
-  Ask(Question(1));
-  place_request hasty = Question(2);
+  Ask(Request(1));
+  place_request hasty = Request(2);
   hasty.mWait.mNew = 0ms;
   CHECK(Ask(hasty).mState == place_state::eNone);
   LONGS_EQUAL(0, mPlaceQueue.Waiting());
 }
 
-TEST(placing, ACallerThatLeavesLeavesTheQueue)
+TEST(placing, AWithdrawnRequestLeavesTheQueue)
 {
-  Ask(Question(1));
-  Ask(Question(2));
+  Ask(Request(1));
+  Ask(Request(2));
   mPlaceQueue.Withdraw({ 2 });
   mPlacement.End({ 1 });
   LONGS_EQUAL(0, mPlaceQueue.Tick(kNow + 20ms).size());
   LONGS_EQUAL(0, mPlacement.RunCount());
 }
 
-TEST(placing, AQuestionAskedAgainWaitsOnce)
+TEST(placing, ARepeatedRequestIsQueuedOnce)
 {
-  Ask(Question(1));
-  Ask(Question(2));
-  Ask(Question(2), kNow + 50ms);
+  Ask(Request(1));
+  Ask(Request(2));
+  Ask(Request(2), kNow + 50ms);
   LONGS_EQUAL(1, mPlaceQueue.Waiting());
 }
 
 TEST(placing, ARefusalByAnotherDaemonIsKnown)
 {
   mRefused.Note(1001, kNow - 2s);
-  CHECK_TRUE(Ask(Question(1)).mReturned);
-  CHECK_FALSE(Ask(Question(2)).mReturned);
+  CHECK_TRUE(Ask(Request(1)).mReturned);
+  CHECK_FALSE(Ask(Request(2)).mReturned);
 }
 
-TEST(placing, AnEngineThatTheAskersDaemonMayNotUseIsNotGiven)
+TEST(placing, AnEngineThatTheRequestingDaemonCannotUseIsNotChosen)
 {
-  place_request question = Question(1);
-  question.mDemand.mExcluded = { RunnerIdOf("d") };
-  CHECK(Ask(question).mState != place_state::ePlaced);
-  CHECK(Ask(Question(2)).mState == place_state::ePlaced);
+  place_request request = Request(1);
+  request.mDemand.mExcluded = { RunnerIdOf("d") };
+  CHECK(Ask(request).mState != place_state::ePlaced);
+  CHECK(Ask(Request(2)).mState == place_state::ePlaced);
 }
 
-TEST(placing, AServiceThatIsNotKnownIsNotPlacedHere)
+TEST(placing, AnUnknownServiceIsNotPlaced)
 {
-  place_request strange = Question(1);
+  place_request strange = Request(1);
   strange.mDemand.mService = "other";
   CHECK(Ask(strange).mState == place_state::eNotPlacing);
 }
 
 TEST(placing, TimeSpentWaitingIsTakenOffTheTimeToTheFirstEvent)
 {
-  place_request late = Question(2);
+  place_request late = Request(2);
   late.mDemand.mFirstEventWithin = 200ms;
-  Ask(Question(1));
+  Ask(Request(1));
   Ask(late);
   mPlacement.End({ 1 });
   // A read of 5,000 tokens takes 100 ms: there's no time left for it.
@@ -287,14 +287,14 @@
       mRunners.NoteOutcome(engine, send_outcome::eUnreachable, now);
       waiting.pop_front();
     }
-    place_request question = Question(100 + sent);
-    question.mDemand.mPromptTokens = 500;
-    question.mDemand.mAnswerTokens = 100;
-    question.mDemand.mMostTokens = 100;
-    question.mWait.mNew = 0ms;
-    if (Ask(question, now).mState == place_state::ePlaced) {
+    place_request request = Request(100 + sent);
+    request.mDemand.mPromptTokens = 500;
+    request.mDemand.mAnswerTokens = 100;
+    request.mDemand.mMostTokens = 100;
+    request.mWait.mNew = 0ms;
+    if (Ask(request, now).mState == place_state::ePlaced) {
       ++sent;
-      waiting.emplace_back(now + kSilence, question.mDemand.mRun);
+      waiting.emplace_back(now + kSilence, request.mDemand.mRun);
     }
   }
   printf("callers sent to a silent engine in 3 s: %d\n", static_cast<int>(sent));
@@ -307,9 +307,9 @@
   const service_runner_id engine = RunnerIdOf("d");
   mRunners.NoteOutcome(engine, send_outcome::eUnreachable, kNow);
   const instant back = kNow + 200ms;
-  place_request first = Question(7);
+  place_request first = Request(7);
   first.mDemand.mPromptTokens = 500;
-  place_request second = Question(8);
+  place_request second = Request(8);
   second.mDemand.mPromptTokens = 500;
   second.mWait.mNew = 0ms;
   LONGS_EQUAL(static_cast<int>(place_state::ePlaced), static_cast<int>(Ask(first, back).mState));
@@ -318,12 +318,12 @@
   LONGS_EQUAL(static_cast<int>(place_state::ePlaced), static_cast<int>(Ask(second, back).mState));
 }
 
-TEST(placing, QuestionsAndAnswersTravelWhole)
+TEST(placing, RequestsAndRepliesSurviveEncoding)
 {
-  place_request question = Question(9);
-  question.mWait.mReturned = 3s;
-  const placing_message read = DecodePlacing(Encode(question));
-  CHECK(std::get<place_request>(read) == question);
+  place_request request = Request(9);
+  request.mWait.mReturned = 3s;
+  const placing_message read = DecodePlacing(Encode(request));
+  CHECK(std::get<place_request>(read) == request);
   place_reply reply;
   reply.mRun = { 9 };
   reply.mRound = 4;
@@ -343,7 +343,7 @@
   CHECK(got.mWaitsFor == 700ms);
 }
 
-TEST(placing, BytesThatAreNoMessageAreNothing)
+TEST(placing, InvalidBytesDecodeToNothing)
 {
   CHECK(std::holds_alternative<std::monostate>(DecodePlacing("no message")));
   CHECK(std::holds_alternative<std::monostate>(DecodePlacing("")));
--- a/tests/unit/reading_test.cpp
+++ b/tests/unit/reading_test.cpp
@@ -57,7 +57,7 @@
   CHECK(expected < each * 11 / 10);
 }
 
-TEST(reading, PromptsThatWaitForEachOtherDoNotMakeTheEngineSlow)
+TEST(reading, QueuedPromptsDoNotMakeTheEngineSlow)
 {
   const instant now = ReadInARow(10, 80ms, kNow);
   const duration expected = mQueue.TimeFor(kPrompt, now);
@@ -65,7 +65,7 @@
   CHECK(expected < 85ms);
 }
 
-TEST(reading, AnEngineThatStoodStillOnceIsNotSlow)
+TEST(reading, ASuspensionDoesNotMakeTheEngineSlow)
 {
   const instant now = ReadInARow(10, 80ms, kNow);
   ReadInARow(1, 3s, now);
@@ -77,14 +77,14 @@
   CHECK(mPauses.Fit(kAllowed, kNow));
 }
 
-TEST(reading, RunsThatPauseTooLongRuleReadsOutUntilTheyAreTriedAgain)
+TEST(reading, LongPausesStopReadsUntilTheMeasurementExpires)
 {
   LearnPauses(5, 330ms, kNow);
   CHECK_FALSE(mPauses.Fit(kAllowed, kNow + 1s));
   CHECK(mPauses.Fit(kAllowed, kNow + 25s));
 }
 
-TEST(reading, OneRunThatPausedForAnotherReasonRulesNothingOut)
+TEST(reading, OneRunWithAnUnrelatedPauseDoesNotStopReads)
 {
   LearnPauses(10, 150ms, kNow);
   LearnPauses(1, 700ms, kNow);
