--- a/tests/support/load_engines.cpp
+++ b/tests/support/load_engines.cpp
@@ -1,6 +1,6 @@
 /**
  * @file load_engines.cpp
- * Memory of the engines, and draws of generations.
+ * Memory of the simulated engines, and draws of generations.
  */
 #include "tests/support/load_engines.h"
 
@@ -62,7 +62,7 @@
     for (const load_run& run : runs) {
       held += run.mPrompt + run.Made(aNow);
     }
-    // The newest gives way, is read again, and goes on: it counts once.
+    // The newest run is preempted, is read again, and goes on; it is counted once.
     for (auto run = runs.rbegin(); run != runs.rend() && held > kEngineMemory; ++run) {
       step.mPreempted += run->mPreempted ? 0 : 1;
       held -= run->mPrompt + run->Made(aNow);
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file placement_test.cpp
- * Placement of generations and the plan of roles, in virtual time.
+ * Tests of the placement of generations and of the role planner, in virtual time.
  */
 #include "core/text_func.h"
 #include "placement/placement.h"
@@ -60,8 +60,8 @@
 TEST_GROUP(placement)
 {
   runner_table mRunners;       ///< The engines.
-  placement_table mPlacement;  ///< The table under test.
-  std::uint64_t mRuns = 0;     ///< Runs begun.
+  placement_table mPlacement;  ///< Table under test.
+  std::uint64_t mRuns = 0;     ///< Number of runs begun.
   std::uint64_t mListings = 0; ///< Listings applied.
 
   void List(const std::vector<runner_entry>& aEntries)
@@ -72,7 +72,7 @@
   {
     return mPlacement.Choose(aDemand, Traits(), mRunners, aNow);
   }
-  /** Lets a run end on engine "d" beside which it read a prompt. */
+  /** Ends a run on engine "d" that was generating while the engine read a prompt. */
   void EndBesideRead(duration aLongestGap, instant aNow)
   {
     const generation_demand reader = Demand(++mRuns, 2000);
@@ -83,7 +83,7 @@
     mPlacement.NoteFinished({ beside.mRun, 900, 800, 2s, aLongestGap }, aNow);
     mPlacement.End(beside.mRun);
   }
-  /** Lets so many reads wait at engine "p" that it reads too late for anybody. */
+  /** Queues so many reads at engine "p" that any further read would be late. */
   void PutBehind(instant aNow)
   {
     for (int i = 0; i < 12; ++i) {
@@ -95,7 +95,7 @@
     aDemand.mWaited = aPart;
     return aDemand;
   }
-  /** Places runs until there's no place for another. @return how many. */
+  /** Places runs until no further one fits. @return number of placed runs. */
   int Fill(instant aNow = kNow)
   {
     int placed = 0;
@@ -144,7 +144,7 @@
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   const int placed = Fill();
-  // 90,000 tokens hold 10 runs of 9,000; the growing ones leave room for some more.
+  // 90,000 tokens hold 10 full runs of 9,000; a few more fit as the runs are still growing.
   CHECK(placed >= 7);
   CHECK(placed <= 12);
   generation_demand demand = Demand(++mRuns);
@@ -191,7 +191,7 @@
 TEST(placement, AReadThatWouldBeLateIsRefused)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
-  for (int i = 0; i < 12; ++i) { // About 1.2 s of reads are ahead, for another engine.
+  for (int i = 0; i < 12; ++i) { // About 1.2 s of reads are queued.
     generation_demand demand = Demand(++mRuns);
     Begin(demand, { RunnerIdOf("other"), RunnerIdOf("p"), 0ms, 0ms, 0.0 }, kNow);
   }
@@ -200,23 +200,23 @@
   CHECK(answer.mReason == no_place::eTooLate);
 }
 
-// Five reads wait at an engine that is slower than expected. Each ends late by the same delay as
-// the one before it and its own: taking the delays off one by one made the queue's end wrong by
-// seconds.
+// Guards against counting one delay several times. Five reads wait at an engine that is slower than
+// expected, and each ends late by the delays of all reads before it and its own. Adjusting the
+// queue's end by each of these delays made it wrong by seconds.
 TEST(placement, DelaysOfFinishedReadsDoNotAddUpInTheReadQueue)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   for (std::uint64_t run = 1; run <= 5; ++run) {
     Begin(Demand(run), { RunnerIdOf("other"), RunnerIdOf("p"), 0ms, 0ms, 0.0 }, kNow);
   }
-  // Expected after 100, 200, 300 and 400 ms; they take half as long again.
+  // Expected after 100, 200, 300 and 400 ms; each takes 50% longer.
   for (int read = 1; read <= 4; ++read) {
     const duration took = read * 150ms;
     mPlacement.NoteRead({ static_cast<std::uint64_t>(read) }, RunnerIdOf("p"), took, kNow + took);
   }
   const placement_answer answer = Choose(Demand(9), kNow + 600ms);
   CHECK(answer.mChoice.has_value());
-  // One read is left, and the newcomer's own: 100 ms each at the first guess of the speed.
+  // One read is left, and the new one: 100 ms each at the default speed.
   CHECK(answer.mChoice->mUntilRead > 190ms);
   CHECK(answer.mChoice->mUntilRead < 320ms);
 }
@@ -257,7 +257,8 @@
   const placement_answer answer = Choose(Demand(++mRuns, 2000), later);
   CHECK(answer.mChoice.has_value());
   CHECK_FALSE(answer.mChoice->mPrefill.has_value());
-  CHECK_FALSE(Choose(Demand(++mRuns, 15000), later).mChoice.has_value()); // Too long for a pause.
+  // Too long to be read between two events.
+  CHECK_FALSE(Choose(Demand(++mRuns, 15000), later).mChoice.has_value());
 }
 
 TEST(placement, ADecodeEngineReadsNoPromptsWhereItsRunsPauseTooLong)
@@ -285,7 +286,7 @@
   List({ Engine("p", engine_role::ePrefill),
          Engine("q", engine_role::ePrefill, "b"),
          Engine("d", engine_role::eDecode) });
-  generation_demand demand = Demand(1, 9000); // Too long for a read at the decode engine.
+  generation_demand demand = Demand(1, 9000); // Too long to be read at the decode engine.
   CHECK(Choose(demand).mChoice->mPrefill == RunnerIdOf("p"));
   demand.mFailed = { RunnerIdOf("p") };
   CHECK(Choose(demand).mChoice->mPrefill == RunnerIdOf("q"));
@@ -328,7 +329,7 @@
   const placement_answer answer = Choose(Demand(run + 1));
   CHECK_TRUE(answer.mChoice.has_value());
   CHECK(answer.mChoice->mDecode == RunnerIdOf("d", 200));
-  mPlacement.NoteFull(RunnerIdOf("d", 100), kNow); // What another daemon tells late.
+  mPlacement.NoteFull(RunnerIdOf("d", 100), kNow); // A late report of another daemon.
   CHECK_TRUE(Choose(Demand(run + 2)).mChoice.has_value());
 }
 
@@ -341,10 +342,10 @@
     if (Choose(Demand(1), now).mChoice) {
       ++asked;
       mPlacement.NoteFull(engine, now);
-      mPlacement.NoteFull(engine, now + 1ms); // Asked before the first refusal was known.
+      mPlacement.NoteFull(engine, now + 1ms); // Sent before the first refusal was known.
     }
   }
-  printf("asked in vain in 10 s: %d\n", asked); // 14; with the first rest alone 167.
+  printf("asked in vain in 10 s: %d\n", asked); // 14; 167 with a constant back-off.
   CHECK(asked >= 10);
   CHECK(asked <= 20);
   mPlacement.NoteRoom(engine);
@@ -363,7 +364,8 @@
   CHECK(mPlacement.Choose(Waited(demand, 1.0), Traits(), mRunners, kNow).mChoice.has_value());
 }
 
-// Only some of very many engines are looked at closely: these must be the ones with room.
+// Guards against missing the engines with room: only some of very many engines are compared in
+// detail.
 TEST(placement, OfVeryManyEnginesTheOneWithRoomIsFound)
 {
   constexpr int kEngines = 400;
@@ -375,7 +377,7 @@
   List(entries);
   const auto decode = [](int aIndex) { return RunnerIdOf(Join("d", aIndex)); };
   for (int index = 0; index < kEngines; ++index) {
-    if (index < kFree) { // Empty, but they have just said that they take nothing.
+    if (index < kFree) { // Empty, but they have just refused a reservation.
       mPlacement.NoteFull(decode(index), kNow);
     } else if (index > kFree) {
       run_record run;
@@ -410,7 +412,7 @@
 
 TEST_GROUP(sizes)
 {
-  size_balance mSizes; ///< The balance under test.
+  size_balance mSizes; ///< Balance under test.
 
   void Note(int aTimes, double aSize, bool aServed)
   {
--- a/tests/unit/placing_load_test.cpp
+++ b/tests/unit/placing_load_test.cpp
@@ -1,9 +1,9 @@
 /**
  * @file placing_load_test.cpp
- * Plays a load on engines in virtual time, and counts what callers get: once with decisions that
- * each daemon takes by itself, from runs that the others tell it of some time later, and once with
- * one central that decides for all. Engines hold what runs really take, refuse reservations that
- * don't fit, and put back the newest run when their memory is full, as the users' engines do.
+ * Simulates a load on engines in virtual time and counts the outcomes: once with each daemon
+ * placing by itself, with delayed reports of the other daemons' runs, and once with one queue that
+ * places for all. The simulated engines hold what the runs really need, refuse reservations that
+ * don't fit, and preempt the newest run when their memory is full, as the users' engines do.
  */
 #include "placement/placement_queue.h"
 #include "tests/support/load_engines.h"
@@ -19,7 +19,7 @@
 
 namespace {
 
-/** The load on the users' largest deployment: 60 generations a second, 1.9 times as many in a
+/** Load of the users' largest deployment: 60 generations per second, and 1.9 times as many in a
  * burst. */
 constexpr double kRate = 60.0;
 constexpr double kBurst = 1.9;
@@ -27,30 +27,30 @@
 constexpr instant kBurstTo = 11s;
 constexpr instant kEnd = 18s;
 constexpr duration kStep = 5ms;
-/** Time from a decision until the others know of it, where each daemon decides by itself: reserving
- * and telling, with processes that get an eighth of a core. In a replay first events came 50 to 125
- * ms later than expected. */
+/** Time from a placement until the other daemons know of it, where each places by itself: the
+ * reservation and the report, with processes that get an eighth of a core. In a replay, first
+ * events came 50 to 125 ms later than expected. */
 constexpr duration kReportDelay = 80ms;
 
-/** What callers got. */
+/** Counts of the outcomes. */
 struct load_outcome
 {
   int mAsked = 0;     ///< Generations.
-  int mServed = 0;    ///< Runs that ended and were never put back.
-  int mPreempted = 0; ///< Runs put back for want of memory.
+  int mServed = 0;    ///< Runs that ended without being preempted.
+  int mPreempted = 0; ///< Runs preempted for lack of memory.
   int mRefused = 0;   ///< Generations that found no place in 180 ms.
   int mNoRoom = 0;    ///< Reservations that engines refused.
 };
 
-/** A generation that looks for a place. */
+/** A generation that isn't placed yet. */
 struct load_request
 {
-  place_request mRequest; ///< As it's asked.
-  double mAnswer = 0.0;   ///< Tokens that it will make.
-  instant mUntil{ 0 };    ///< It's refused then.
+  place_request mRequest; ///< The place request.
+  double mAnswer = 0.0;   ///< Tokens that it will generate.
+  instant mUntil{ 0 };    ///< Time at which it is refused.
 };
 
-/** The player. */
+/** The simulation. */
 class load_player
 {
 public:
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Looks for places for all that have none, the longest waiting first. */
+  /** Tries to place all unplaced generations, the longest waiting first. */
   void PlaceWaiting(instant aNow)
   {
     std::deque<load_request> left;
@@ -130,7 +130,7 @@
       ++mOutcome.mNoRoom;
       mTable.End(demand.mRun);
       if (mCentral) {
-        mTable.NoteFull(aChoice.mDecode, aNow); // The others are told of no refusal.
+        mTable.NoteFull(aChoice.mDecode, aNow); // Refusals aren't reported to the other daemons.
       }
       return false;
     }
@@ -140,7 +140,7 @@
     return true;
   }
 
-  /** Tells of runs that others have placed some time ago. */
+  /** Adds the runs that other daemons placed kReportDelay ago. */
   void TellLate(instant aNow)
   {
     while (!mUnreported.empty() && mUnreported.front().first <= aNow) {
@@ -158,25 +158,27 @@
     }
   }
 
-  bool mCentral;                                          ///< One central decides.
-  engine_traits mTraits = load_engines::Traits();         ///< Of the engines.
-  runner_table mRunners;                                  ///< The engines.
-  placement_table mTable;                                 ///< What the deciders know.
-  refused_table mRefused;                                 ///< Not used here.
-  placement_queue mPlaceQueue;                            ///< Decides for all, if mCentral.
-  load_outcome mOutcome;                                  ///< So far.
-  load_draw mDraw;                                        ///< The same load for both.
-  load_engines mEngines;                                  ///< What engines hold.
-  std::deque<load_request> mUnplaced;                     ///< They have no place yet.
-  std::deque<std::pair<instant, run_record>> mUnreported; ///< Runs, and when others learn of them.
+  bool mCentral;                                  ///< Whether one queue places for all.
+  engine_traits mTraits = load_engines::Traits(); ///< Traits of the engines.
+  runner_table mRunners;                          ///< The engines.
+  placement_table mTable;                         ///< Runs known where placements are decided.
+  refused_table mRefused;                         ///< Unused, but required by the queue.
+  placement_queue mPlaceQueue;                    ///< Places for all, if mCentral.
+  load_outcome mOutcome;                          ///< So far.
+  load_draw mDraw;                                ///< Generations; the same for both modes.
+  load_engines mEngines;                          ///< Simulated engines.
+  std::deque<load_request> mUnplaced;             ///< Generations without a place.
+  /** Runs, and when the other daemons learn of them. */
+  std::deque<std::pair<instant, run_record>> mUnreported;
 };
 
 } // namespace
 
 TEST_GROUP(placing_load){};
 
-// 295 daemons that each decided by themselves had 372 to 403 of 2,900 runs put back in a replay of
-// a calm day, and 1,938 reservations refused; 87 and 117 with one that decides for all.
+// Guards against overcommitted engines. In a replay of a calm day with 295 daemons, 372 to 403 of
+// 2,900 runs were preempted and 1,938 reservations refused when each daemon placed by itself; 87
+// and 117 when one placed for all.
 TEST(placing_load, CentralPlacementPreventsPreemptedRuns)
 {
   const load_outcome alone = load_player(false).Play();
@@ -199,8 +201,8 @@
   CHECK(alone.mPreempted > 2 * central.mPreempted);
 }
 
-// The central must keep up with a burst: 130 questions a second, and 66 looks with some that wait,
-// on half of a core.
+// The queue must keep up with a burst on half a core: 130 requests per second, and 66 ticks per
+// second that try queued ones again.
 TEST(placing_load, APlaceRequestAmongManyEnginesIsCheap)
 {
   const auto began = std::chrono::steady_clock::now();
@@ -213,11 +215,11 @@
 
 namespace {
 
-/** Engines of ten times the users' largest deployment, of which a fifth read prompts. */
+/** Ten times the engines of the users' largest deployment; a fifth are prefill engines. */
 constexpr std::size_t kManyEngines = 3000;
 constexpr std::size_t kRunsOnEach = 5;
 
-/** @return the processor time that a question takes, with @p aEngines engines that all have runs.
+/** @return processor time of a place request, with @p aEngines engines that all have runs.
  */
 std::chrono::microseconds
 TimePerRequest(std::size_t aEngines)
@@ -245,19 +247,19 @@
   }
   runners.Apply(listing, kStep, false);
   constexpr int kRequests = 10;
-  place_request question;
-  question.mDemand.mService = "tutor";
-  question.mDemand.mModel = "m";
-  question.mDemand.mHall = "hall-1";
-  question.mDemand.mPromptTokens = 5200;
-  question.mDemand.mAnswerTokens = 4000;
-  question.mDemand.mMostTokens = 10880;
-  question.mDemand.mEventGap = 300ms;
-  question.mDemand.mFirstEventWithin = 870ms;
+  place_request request;
+  request.mDemand.mService = "tutor";
+  request.mDemand.mModel = "m";
+  request.mDemand.mHall = "hall-1";
+  request.mDemand.mPromptTokens = 5200;
+  request.mDemand.mAnswerTokens = 4000;
+  request.mDemand.mMostTokens = 10880;
+  request.mDemand.mEventGap = 300ms;
+  request.mDemand.mFirstEventWithin = 870ms;
   const std::clock_t began = std::clock();
   for (int index = 0; index < kRequests; ++index) {
-    question.mDemand.mRun = { ++runs };
-    CHECK(queue.Take(question, 1, {}, kStep).mState == place_state::ePlaced);
+    request.mDemand.mRun = { ++runs };
+    CHECK(queue.Take(request, 1, {}, kStep).mState == place_state::ePlaced);
   }
   const double took = static_cast<double>(std::clock() - began) / CLOCKS_PER_SEC / kRequests;
   return std::chrono::microseconds(static_cast<std::int64_t>(took * 1e6));
@@ -265,14 +267,15 @@
 
 } // namespace
 
-// An asker waits 60 ms for an answer, of a daemon that has a part of a core. With each of 2,400
-// decode engines compared to each of 600 readers a question took 69 ms of a whole core, and 0.79 ms
-// with 64 engines; now 1.2 to 1.5 ms and 0.19 to 0.26 ms.
+// Guards against timeouts of place requests: a daemon waits 60 ms for the reply of another one that
+// has only part of a core. Comparing each of 2,400 decode engines with each of 600 prefill engines
+// took 69 ms of a whole core, and 0.79 ms with 64 engines. Comparing the cheapest engines only
+// takes 1.2 to 1.5 ms and 0.19 to 0.26 ms.
 TEST(placing_load, APlaceRequestAmongThousandsOfEnginesIsAnsweredInTime)
 {
   const std::chrono::microseconds few = TimePerRequest(64);
   const std::chrono::microseconds many = TimePerRequest(kManyEngines);
-  printf("a question among 64 engines: %lld us, among %zu: %lld us\n",
+  printf("a place request among 64 engines: %lld us, among %zu: %lld us\n",
          static_cast<long long>(few.count()),
          kManyEngines,
          static_cast<long long>(many.count()));
--- a/tests/unit/placing_return_test.cpp
+++ b/tests/unit/placing_return_test.cpp
@@ -1,8 +1,8 @@
 /**
  * @file placing_return_test.cpp
- * Plays a burst that is more than the engines' memory takes, with callers that are refused and come
- * back once, as the users' clients do, and counts what callers get in the end: an answer in time, a
- * late one, or none. In virtual time, through the desk and its queue.
+ * Simulates a burst that exceeds the engines' memory, with callers that are refused and retry once,
+ * as the users' clients do. Counts the final outcomes: an answer in time, a late one, or none. Runs
+ * in virtual time through the placement queue.
  */
 #include "placement/placement_queue.h"
 #include "placement/return_plan.h"
@@ -20,48 +20,48 @@
 constexpr duration kStep = 5ms;
 constexpr duration kQueueTickInterval = 15ms;
 constexpr duration kTarget = 900ms;
-/** How long new and returned callers waited where the returned ones went first. */
+/** Wait limits of new and returned callers in the former mode, in which returned ones go first. */
 constexpr duration kFormerWait = 180ms;
-/** Callers' time limit, counted from their first try. */
+/** Callers' time limit, counted from their first attempt. */
 constexpr duration kLimit = 14s;
 
 /** A load over time. */
 struct load_shape
 {
-  double mRate = 60.0;        ///< Generations a second.
-  double mBurst = 3.6;        ///< Times as many in the burst.
-  instant mBurstFrom = 6s;    ///< When it begins.
-  instant mBurstTo = 10500ms; ///< When it's over.
-  instant mEnd = 24s;         ///< No more callers come.
+  double mRate = 60.0;        ///< Generations per second.
+  double mBurst = 3.6;        ///< Factor of the rate in the burst.
+  instant mBurstFrom = 6s;    ///< Begin of the burst.
+  instant mBurstTo = 10500ms; ///< End of the burst.
+  instant mEnd = 24s;         ///< End of the arrivals.
 };
 
-/** What callers got. */
+/** Counts of the outcomes. */
 struct return_outcome
 {
   int mAsked = 0;     ///< Callers.
-  int mInTime = 0;    ///< First event in time, and never put back.
+  int mInTime = 0;    ///< First event in time, and never preempted.
   int mLate = 0;      ///< Served, but late, or with a long pause.
   int mNone = 0;      ///< Refused for good.
-  int mReturned = 0;  ///< Refused once, and came back.
-  int mInVain = 0;    ///< Times that a caller waited over an eighth of the target for a refusal.
-  int mPreempted = 0; ///< Runs put back for want of memory.
+  int mReturned = 0;  ///< Refused once, and retried.
+  int mInVain = 0;    ///< Refusals after a wait of more than an eighth of the target.
+  int mPreempted = 0; ///< Runs preempted for lack of memory.
 
-  /** @return what callers got of the best: a late answer is worth a fifth of one in time. */
+  /** @return share of the best possible outcome: a late answer counts a fifth of one in time. */
   double Worth() const { return (mInTime + 0.2 * mLate) / mAsked; }
 };
 
 /** A caller. */
 struct load_caller
 {
-  place_request mRequest; ///< As it asks.
-  double mAnswer = 0.0;   ///< Tokens that it will get.
-  instant mFirst{ 0 };    ///< When it asked first.
-  instant mAsked{ 0 };    ///< When it asked last.
-  instant mNext{ 0 };     ///< When it asks again.
-  bool mReturned = false; ///< It was refused before.
+  place_request mRequest; ///< Its place request.
+  double mAnswer = 0.0;   ///< Tokens that its run will generate.
+  instant mFirst{ 0 };    ///< Time of its first attempt.
+  instant mAsked{ 0 };    ///< Time of its last attempt.
+  instant mNext{ 0 };     ///< Time of its next attempt.
+  bool mReturned = false; ///< Whether it was refused before.
 };
 
-/** The player. */
+/** The simulation. */
 class return_player
 {
 public:
@@ -93,7 +93,7 @@
   }
 
 private:
-  /** Who has come back needs less room from the start. */
+  /** Returned callers need less memory margin from the start of their wait. */
   static placement_tuning ReturnedFirstTuning()
   {
     placement_tuning tuning;
@@ -144,7 +144,7 @@
     Take(reply, aNow);
   }
 
-  /** A caller has its answer. */
+  /** Handles the final reply to a caller. */
   void Take(const place_reply& aReply, instant aNow)
   {
     if (aReply.mState == place_state::eQueued) {
@@ -199,18 +199,18 @@
     }
   }
 
-  load_shape mShape;                               ///< The load.
-  bool mReturnedFirst;                             ///< Who has come back goes first, as formerly.
-  runner_table mRunners;                           ///< The engines' entries.
-  placement_table mTable;                          ///< All runs.
-  refused_table mRefused;                          ///< Refused prompts.
-  placement_queue mPlaceQueue;                     ///< Under test.
-  load_engines mEngines;                           ///< The engines.
-  load_draw mDraw;                                 ///< The callers.
-  return_outcome mOutcome;                         ///< So far.
-  std::unordered_map<run_id, load_caller> mAsking; ///< They wait for an answer.
-  std::vector<load_caller> mRefusedCallers;        ///< Refused; they come back.
-  std::unordered_map<run_id, bool> mInTime;        ///< Runs: is the first event in time?
+  load_shape mShape;           ///< Load to simulate.
+  bool mReturnedFirst;         ///< Former mode, in which returned callers go first.
+  runner_table mRunners;       ///< The engines' entries.
+  placement_table mTable;      ///< All runs.
+  refused_table mRefused;      ///< Recently refused prompts.
+  placement_queue mPlaceQueue; ///< Queue under test.
+  load_engines mEngines;       ///< Simulated engines.
+  load_draw mDraw;             ///< Draws the callers' generations.
+  return_outcome mOutcome;     ///< So far.
+  std::unordered_map<run_id, load_caller> mAsking; ///< Callers that wait for a reply.
+  std::vector<load_caller> mRefusedCallers;        ///< Refused callers that will retry.
+  std::unordered_map<run_id, bool> mInTime;        ///< Whether a run's first event is in time.
 };
 
 return_outcome
@@ -235,7 +235,7 @@
 
 TEST_GROUP(placing_return){};
 
-// A burst of 2.2 times what the engines take, and a load after it that leaves them a third.
+// A burst of 2.2 times the engines' capacity, then a load of two thirds of it.
 TEST(placing_return, AfterABurstNewCallersAreServedInTimeAndReturnedOnesToo)
 {
   const return_outcome former = Play("returned first", {}, true);
@@ -246,8 +246,8 @@
   CHECK(now.Worth() >= former.Worth() + 0.02);
 }
 
-// With little left after the burst, callers that came back took the places of new ones, which were
-// refused and came back in their turn, for as long as the load lasted.
+// Guards against a retry loop: with little spare capacity after the burst, returned callers took
+// the places of new ones, which were refused and came back in turn, for as long as the load lasted.
 TEST(placing_return, ManyReturnedCallersDoNotMakeNewOnesLate)
 {
   load_shape shape;
@@ -261,7 +261,7 @@
   CHECK(now.Worth() >= former.Worth() + 0.05);
 }
 
-// Without a burst, at about what the engines take.
+// Without a burst, at about the engines' capacity.
 TEST(placing_return, AtFullLoadMoreCallersAreServedInTime)
 {
   load_shape shape;
--- a/tests/unit/placing_test.cpp
+++ b/tests/unit/placing_test.cpp
@@ -1,6 +1,7 @@
 /**
  * @file placing_test.cpp
- * The desk that places generations for all daemons, and the datagrams that it's asked by.
+ * Tests of the queue that places generations for all daemons, and of the encoding of its requests
+ * and replies.
  */
 #include "messages/place_message.h"
 #include "placement/placement_queue.h"
@@ -80,10 +81,10 @@
     return mPlaceQueue.Take(aRequest, aRequest.mDaemon, kAsker, aNow);
   }
 
-  runner_table mRunners;      ///< One engine that reads, and one that generates.
+  runner_table mRunners;      ///< A prefill and a decode engine.
   placement_table mPlacement; ///< All runs.
-  refused_table mRefused;     ///< Refusals.
-  /** The desk; the engine has room for one run. */
+  refused_table mRefused;     ///< Recently refused prompts.
+  /** Queue under test; the decode engine has room for one run. */
   placement_queue mPlaceQueue{ mPlacement, mRunners, mRefused, [](const std::string& aService) {
                                 return aService == "tutor" ? std::optional(Traits()) : std::nullopt;
                               } };
@@ -128,7 +129,7 @@
   CHECK(second[0].mReply.mRun == run_id{ 2 });
 }
 
-// Whoever has just asked can still be in time; whoever has come back can't, but gets its place too.
+// A new caller can still be in time. A returned one can't, but gets a place afterwards.
 TEST(placing, NewCallersArePlacedBeforeReturnedOnes)
 {
   Ask(Request(1));
@@ -150,7 +151,7 @@
   CHECK(second[0].mReply.mState == place_state::ePlaced);
 }
 
-// An urgent kind of request goes first, also where its caller has come back.
+// Priority comes before the order of new and returned callers.
 TEST(placing, AMoreUrgentRouteGoesFirstEvenForAReturnedCaller)
 {
   Ask(Request(1));
@@ -165,7 +166,8 @@
   CHECK(first[0].mReply.mRun == run_id{ 3 });
 }
 
-// A queue longer than what is placed meanwhile would hold callers for a refusal.
+// Guards against requests that wait only to be refused: the queue must not be longer than the
+// places given during the wait.
 TEST(placing, ARequestThatWouldWaitInVainIsRefusedAtOnce)
 {
   Ask(Request(1));
@@ -173,8 +175,8 @@
   while (Ask(Request(next)).mState == place_state::eQueued && next < 100) {
     ++next;
   }
-  LONGS_EQUAL(10, next);                                     // Eight wait.
-  CHECK(Ask(Request(50, 0)).mState == place_state::eQueued); // It goes before them.
+  LONGS_EQUAL(10, next);                                     // Eight are queued.
+  CHECK(Ask(Request(50, 0)).mState == place_state::eQueued); // More urgent than the eight.
   const place_reply refused = Ask(Request(51));
   CHECK(refused.mState == place_state::eNone);
   CHECK(refused.mFreeIn > duration{ 0 });
@@ -268,16 +270,16 @@
   Ask(Request(1));
   Ask(late);
   mPlacement.End({ 1 });
-  // A read of 5,000 tokens takes 100 ms: there's no time left for it.
+  // A read of 5,000 tokens takes 100 ms, which is more than the time left.
   LONGS_EQUAL(0, mPlaceQueue.Tick(kNow + 150ms).size());
 }
 
-// While an engine that wasn't reached is tried again, one caller finds out for all: 3 are sent
-// there in 3 s, and 26 where all that come meanwhile are sent after it.
+// Guards against sending many callers to an unreachable engine: while one caller tries it again, no
+// other is sent there. That makes 3 in 3 s, and 26 if all that arrive meanwhile are sent too.
 TEST(placing, AnEngineThatWasNotReachedIsTriedByOneCallerAtATime)
 {
   const service_runner_id engine = RunnerIdOf("d");
-  constexpr duration kSilence = 250ms; // A caller gives a reservation up after that.
+  constexpr duration kSilence = 250ms; // Timeout of a reservation.
   mRunners.NoteOutcome(engine, send_outcome::eUnreachable, kNow);
   std::deque<std::pair<instant, run_id>> waiting;
   std::uint64_t sent = 0;
--- a/tests/unit/reading_test.cpp
+++ b/tests/unit/reading_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file reading_test.cpp
- * What is learned of engines that read prompts: how quickly they read, and what the runs beside a
- * read suffer.
+ * Tests of what is learned about prompt reads: the engines' read speed, and the pauses of runs on
+ * an engine that reads.
  */
 #include "placement/prompt_queue.h"
 #include "placement/reading_pauses.h"
@@ -22,7 +22,8 @@
 
 TEST_GROUP(reading)
 {
-  /** Has prompts read one after the other, all asked for at once. @return when the last one is. */
+  /** Reads prompts one after the other that were all requested at once. @return end of the last
+   * read. */
   instant ReadInARow(int aCount, duration aEach, instant aFrom)
   {
     for (int read = 0; read < aCount; ++read) {
@@ -41,16 +42,16 @@
     }
   }
 
-  prompt_queue mQueue;     ///< Of one engine.
-  reading_pauses mPauses;  ///< Of runs beside reads.
-  std::uint64_t mRuns = 0; ///< Prompts so far.
+  prompt_queue mQueue;     ///< Read queue of one engine.
+  reading_pauses mPauses;  ///< Pauses of runs during reads.
+  std::uint64_t mRuns = 0; ///< Number of prompts so far.
 };
 
-// Engines of another deployment read a third as fast as is guessed: after the first prompts a
-// daemon that has just started knows.
+// Guards against a default speed that persists: engines of another deployment read at a third of
+// the default, and a daemon that has just started must learn it from the first prompts.
 TEST(reading, TheSpeedIsKnownAfterAFewPrompts)
 {
-  const duration each = 240ms; // The guess is 80 ms.
+  const duration each = 240ms; // The default speed gives 80 ms.
   const instant now = ReadInARow(5, each, kNow);
   const duration expected = mQueue.TimeFor(kPrompt, now);
   CHECK(expected > each * 8 / 10);
