--- a/src/forward/gateway.h
+++ b/src/forward/gateway.h
@@ -308,9 +308,9 @@
 
   asio::awaitable<void> TickRoles()
   {
-    co_await Sleep(kRoleTick); // Until the other daemons were heard.
+    co_await Sleep(kRolePlanInterval); // Until the other daemons were heard.
     for (;;) {
-      co_await Sleep(kRoleTick);
+      co_await Sleep(kRolePlanInterval);
       if (!Ready() || mFollower.Contact().WasAway()) {
         continue;
       }
--- a/src/roles/role_controller.h
+++ b/src/roles/role_controller.h
@@ -14,17 +14,17 @@
 namespace dunehook {
 
 /** Time between looks at the plan. */
-inline constexpr duration kRoleTick = std::chrono::milliseconds(700);
+inline constexpr duration kRolePlanInterval = std::chrono::milliseconds(700);
 /** A confirmed term allows orders for this long; a daemon that stood still in between gives none.
  */
-inline constexpr duration kTermFresh = std::chrono::milliseconds(400);
+inline constexpr duration kTermValidity = std::chrono::milliseconds(400);
 /** A daemon takes no term before it has run for so long: until it has heard the others, it takes
  * itself for the first of them. */
-inline constexpr duration kHearsOthersFor = std::chrono::milliseconds(2500);
+inline constexpr duration kStartupDelay = std::chrono::milliseconds(2500);
 /** After a term went to another daemon, none is asked for until that one has been heard. */
-inline constexpr duration kTermLostRest = std::chrono::seconds(5);
+inline constexpr duration kTermLostDelay = std::chrono::seconds(5);
 /** Longest wait for an engine's answer to an order. */
-inline constexpr duration kOrderTime = std::chrono::milliseconds(500);
+inline constexpr duration kOrderTimeout = std::chrono::milliseconds(500);
 
 /** What the controller needs to know of the other daemons. */
 struct role_peers
@@ -42,7 +42,7 @@
     : mState(aState)
     , mStore(aStore)
     , mPlanner(aState.mSettings.mPlacement.mPrefillShare)
-    , mTermFrom(aState.Now() + kHearsOthersFor)
+    , mEarliestTermAttempt(aState.Now() + kStartupDelay)
   {
   }
 
@@ -58,13 +58,13 @@
     if (wanted.empty() || mState.mStopping) {
       co_return;
     }
-    const bool holds = co_await Confirm(aPeers);
+    const bool holds = co_await ConfirmTerm(aPeers);
     if (!holds) {
       co_return;
     }
-    mOrdersUntil = mState.Now() + kTermFresh;
+    mOrdersValidUntil = mState.Now() + kTermValidity;
     for (const role_change& change : wanted) {
-      if (mState.Now() >= mOrdersUntil) {
+      if (mState.Now() >= mOrdersValidUntil) {
         co_return;
       }
       co_await Order(change);
@@ -73,10 +73,10 @@
 
 private:
   /** @return whether this daemon holds the term now and may give orders. */
-  asio::awaitable<bool> Confirm(const role_peers& aPeers)
+  asio::awaitable<bool> ConfirmTerm(const role_peers& aPeers)
   {
     const bool mine = mTerm != 0;
-    if (!mine && (!aPeers.mFirst || mState.Now() < mTermFrom)) {
+    if (!mine && (!aPeers.mFirst || mState.Now() < mEarliestTermAttempt)) {
       co_return false;
     }
     const result<term_record> read = co_await mStore.ReadTerm();
@@ -85,13 +85,13 @@
     }
     const term_record& current = read.value();
     if (mine && current.mTerm == mTerm) {
-      co_return mState.Now() >= mOrdersFrom;
+      co_return mState.Now() >= mEarliestOrder;
     }
     mTerm = 0;
     const auto& alive = aPeers.mAlive;
     const bool otherAlive = std::find(alive.begin(), alive.end(), current.mHolder) != alive.end();
     if (!aPeers.mFirst || otherAlive) {
-      mTermFrom = mState.Now() + kTermLostRest;
+      mEarliestTermAttempt = mState.Now() + kTermLostDelay;
       co_return false;
     }
     const result<term_record> taken =
@@ -102,7 +102,7 @@
                { "former", current.mHolder },
                { "outcome", taken ? "ok" : ErrorName(taken.error()) } });
     if (!taken) {
-      mTermFrom = mState.Now() + kTermLostRest;
+      mEarliestTermAttempt = mState.Now() + kTermLostDelay;
       co_return false;
     }
     mTerm = taken.value().mTerm;
@@ -110,7 +110,8 @@
     // allowed.
     // Where the store names none it may have lost it, but for the first start of all.
     const bool hadHolder = !current.mHolder.empty() || !mState.mSettings.mFirstStart;
-    mOrdersFrom = mState.Now() + (hadHolder ? mState.mSettings.mLeaseTime * 5 / 4 : duration{ 0 });
+    mEarliestOrder =
+      mState.Now() + (hadHolder ? mState.mSettings.mLeaseTime * 5 / 4 : duration{ 0 });
     co_return !hadHolder;
   }
 
@@ -125,26 +126,26 @@
     order.mRole = aChange.mRole;
     order.mHolder = mState.mSettings.mName;
     order.mTerm = mTerm;
-    order.mAfterOrders = mOrdersTaken[aChange.mRunner];
+    order.mAfterOrders = mAcceptedOrders[aChange.mRunner];
     const endpoint address = runner->mEntry.mAddress;
     mPlanner.NoteOrdered(aChange, mState.Now());
     const http_call call = Wire::OrderCall(order);
-    auto connected = co_await http_connection::Connect(address, kOrderTime);
+    auto connected = co_await http_connection::Connect(address, kOrderTimeout);
     if (!connected) {
       LogEvent(log_level::eWarning, "order_unsent", { { "runner", order.mRunnerName } });
       co_return;
     }
     // Connecting takes time, and the machine may have been suspended in it: another daemon may hold
     // the term by now.
-    if (mState.Now() >= mOrdersUntil) {
+    if (mState.Now() >= mOrdersValidUntil) {
       LogEvent(log_level::eInfo, "order_withheld", { { "runner", order.mRunnerName } });
       co_return;
     }
     // Sent once: an order without an answer may still be carried out later.
-    const result<http_answer> answer = co_await connected.value()->Call(call, kOrderTime);
+    const result<http_answer> answer = co_await connected.value()->Call(call, kOrderTimeout);
     const unsigned status = answer ? answer.value().mStatus : 0;
     if (status == 202) {
-      ++mOrdersTaken[aChange.mRunner];
+      ++mAcceptedOrders[aChange.mRunner];
       mState.mRunners.NoteChanging(aChange.mRunner, mState.Now() + kLongestChange);
       run_message message;
       message.mOrdered.push_back(aChange.mRunner);
@@ -161,14 +162,14 @@
                { "status", status } });
   }
 
-  forward_state& mState;                                   ///< Shared.
-  Store& mStore;                                           ///< Holds the term.
-  role_planner mPlanner;                                   ///< What is wanted.
-  std::uint64_t mTerm = 0;                                 ///< The term held; 0 if none.
-  instant mTermFrom;                                       ///< No try to take a term before this.
-  instant mOrdersFrom{ 0 };                                ///< No orders before this.
-  instant mOrdersUntil{ 0 };                               ///< The term was confirmed until then.
-  std::map<service_runner_id, std::uint64_t> mOrdersTaken; ///< Orders taken in each life.
+  forward_state& mState;          ///< Shared.
+  Store& mStore;                  ///< Holds the term.
+  role_planner mPlanner;          ///< What is wanted.
+  std::uint64_t mTerm = 0;        ///< The term held; 0 if none.
+  instant mEarliestTermAttempt;   ///< No try to take a term before this.
+  instant mEarliestOrder{ 0 };    ///< No orders before this.
+  instant mOrdersValidUntil{ 0 }; ///< The term was confirmed until then.
+  std::map<service_runner_id, std::uint64_t> mAcceptedOrders; ///< Orders taken in each life.
 };
 
 } // namespace dunehook
--- a/src/roles/role_plan.cpp
+++ b/src/roles/role_plan.cpp
@@ -12,17 +12,17 @@
 namespace {
 
 /** An order that isn't done yet isn't given again before this: it may be carried out late. */
-constexpr duration kOrderPending = std::chrono::seconds(16);
+constexpr duration kPendingOrderTimeout = std::chrono::seconds(16);
 /** An engine that has changed its role keeps it for this long at least. */
-constexpr duration kDwell = std::chrono::seconds(8);
+constexpr duration kMinTimeInRole = std::chrono::seconds(8);
 /** A change costs the engine some seconds out of work, so a gap that may close by itself, since an
  * engine is only silent, isn't filled at once. */
-constexpr duration kSteadyFor = std::chrono::seconds(3);
+constexpr duration kMismatchDelay = std::chrono::seconds(3);
 /** Changes of a service in one plan: orders are given one after the other, and each takes its
  * engine out of work, so many at once would leave too few. */
-constexpr std::int64_t kMostChanges = 16;
+constexpr std::int64_t kMaxChangesPerPlan = 16;
 /** At the start nothing is running yet, and a change costs nothing. */
-constexpr duration kStartTime = std::chrono::seconds(8);
+constexpr duration kStartPeriod = std::chrono::seconds(8);
 
 } // namespace
 
@@ -32,7 +32,7 @@
                    const memory_lookup& aMemory,
                    instant aNow)
 {
-  mEngines = aWork;
+  mEngineWork = aWork;
   if (mStarted == instant{ 0 }) {
     mStarted = aNow;
   }
@@ -44,40 +44,40 @@
   }
   std::vector<role_change> changes;
   for (const auto& [service, engines] : services) {
-    ObserveWork(service, engines, aNow);
+    AddWorkSample(service, engines, aNow);
     PlanService(service, engines, aMemory(service), aNow, changes);
   }
   return changes;
 }
 
 void
-role_planner::ObserveWork(const std::string& aService,
-                          const std::vector<const runner_state*>& aEngines,
-                          instant aNow)
+role_planner::AddWorkSample(const std::string& aService,
+                            const std::vector<const runner_state*>& aEngines,
+                            instant aNow)
 {
   double read = 0.0;
   double held = 0.0;
   for (const runner_state* const engine : aEngines) {
-    const auto load = mEngines.mLoads.find(engine->mId);
-    if (load != mEngines.mLoads.end()) {
+    const auto load = mEngineWork.mLoads.find(engine->mId);
+    if (load != mEngineWork.mLoads.end()) {
       read += load->second.mReadTokens;
       held += load->second.mHeldTokens;
     }
   }
-  mWork[aService].Observe(read, held, aNow);
+  mWork[aService].AddSample(read, held, aNow);
 }
 
 std::int64_t
-role_planner::ReadersWanted(const std::string& aService,
+role_planner::WantedReaders(const std::string& aService,
                             const role_split& aSplit,
                             std::uint64_t aMemory,
                             instant aNow) const
 {
-  const engine_speeds& speeds = mEngines.mSpeeds;
+  const engine_speeds& speeds = mEngineWork.mSpeeds;
   const bool measured = speeds.mReadTokensPerMicro > 0.0 && speeds.mMicrosPerToken > 0.0;
   const auto work = mWork.find(aService);
   if (measured && aMemory > 0 && work != mWork.end() && work->second.Known(aNow)) {
-    return work->second.Readers(aSplit, speeds, static_cast<double>(aMemory));
+    return work->second.WantedReaders(aSplit, speeds, static_cast<double>(aMemory));
   }
   const auto all = static_cast<double>(aSplit.mReading + aSplit.mGenerating);
   return std::max<std::int64_t>(1, std::lround(mPrefillShare * all));
@@ -92,16 +92,16 @@
 {
   role_split split;
   for (const runner_state* const engine : aEngines) {
-    const bool reads = RoleToCome(*engine, aNow) == engine_role::ePrefill;
+    const bool reads = RoleAfterOrder(*engine, aNow) == engine_role::ePrefill;
     ++(reads ? split.mReading : split.mGenerating);
   }
-  const std::int64_t wanted = ReadersWanted(aService, split, aMemory, aNow);
+  const std::int64_t wanted = WantedReaders(aService, split, aMemory, aNow);
   if (split.mReading == wanted || aEngines.size() < 2) {
-    mOffSince.erase(aService);
+    mMismatchSince.erase(aService);
     return;
   }
-  const instant since = mOffSince.try_emplace(aService, aNow).first->second;
-  if (aNow - mStarted > kStartTime && aNow - since < kSteadyFor) {
+  const instant since = mMismatchSince.try_emplace(aService, aNow).first->second;
+  if (aNow - mStarted > kStartPeriod && aNow - since < kMismatchDelay) {
     return;
   }
   const bool tooMany = split.mReading > wanted;
@@ -111,10 +111,10 @@
   // The hall with the most engines of the role gives one, so that halls stay alike.
   engines_by_hall byHall;
   for (const runner_state* const engine : aEngines) {
-    byHall[engine->mEntry.mHall] += RoleToCome(*engine, aNow) == from ? 1 : 0;
+    byHall[engine->mEntry.mHall] += RoleAfterOrder(*engine, aNow) == from ? 1 : 0;
   }
   std::set<service_runner_id> changing;
-  for (std::int64_t i = 0; i < std::min(missing, kMostChanges); ++i) {
+  for (std::int64_t i = 0; i < std::min(missing, kMaxChangesPerPlan); ++i) {
     const runner_state* const chosen = ChooseEngine(aEngines, from, aNow, byHall, changing);
     if (chosen == nullptr) {
       return;
@@ -126,10 +126,11 @@
 }
 
 engine_role
-role_planner::RoleToCome(const runner_state& aEngine, instant aNow) const
+role_planner::RoleAfterOrder(const runner_state& aEngine, instant aNow) const
 {
-  const auto ordered = mOrdered.find(aEngine.mId);
-  const bool pending = ordered != mOrdered.end() && aNow - ordered->second.mAt < kOrderPending;
+  const auto ordered = mLastOrders.find(aEngine.mId);
+  const bool pending =
+    ordered != mLastOrders.end() && aNow - ordered->second.mAt < kPendingOrderTimeout;
   return pending ? ordered->second.mRole : aEngine.mEntry.mRole;
 }
 
@@ -142,18 +143,18 @@
 {
   const runner_state* chosen = nullptr;
   for (const runner_state* const engine : aEngines) {
-    const auto ordered = mOrdered.find(engine->mId);
-    const bool rests = ordered != mOrdered.end() && aNow - ordered->second.mAt < kDwell;
+    const auto ordered = mLastOrders.find(engine->mId);
+    const bool rests = ordered != mLastOrders.end() && aNow - ordered->second.mAt < kMinTimeInRole;
     if (rests || aChosen.count(engine->mId) > 0 || engine->mEntry.mRole != aFrom ||
-        RoleToCome(*engine, aNow) != aFrom) {
+        RoleAfterOrder(*engine, aNow) != aFrom) {
       continue;
     }
     const auto better = [&](const runner_state& aThis, const runner_state& aThat) {
       const int left = aByHall.at(aThis.mEntry.mHall);
       const int right = aByHall.at(aThat.mEntry.mHall);
       const auto runs = [&](const runner_state& aEngine) {
-        const auto found = mEngines.mLoads.find(aEngine.mId);
-        return found == mEngines.mLoads.end() ? 0 : found->second.mRuns;
+        const auto found = mEngineWork.mLoads.find(aEngine.mId);
+        return found == mEngineWork.mLoads.end() ? 0 : found->second.mRuns;
       };
       if (left != right) {
         return left > right;
--- a/src/roles/role_plan.h
+++ b/src/roles/role_plan.h
@@ -49,16 +49,16 @@
   /** Notes that an engine was ordered, so that it's left alone until the order must be done. */
   void NoteOrdered(const role_change& aChange, instant aNow)
   {
-    mOrdered[aChange.mRunner] = { aChange.mRole, aNow };
+    mLastOrders[aChange.mRunner] = { aChange.mRole, aNow };
   }
 
 private:
   /** Takes in the work of a service's engines. */
-  void ObserveWork(const std::string& aService,
-                   const std::vector<const runner_state*>& aEngines,
-                   instant aNow);
+  void AddWorkSample(const std::string& aService,
+                     const std::vector<const runner_state*>& aEngines,
+                     instant aNow);
   /** @return how many engines of a service should read. */
-  std::int64_t ReadersWanted(const std::string& aService,
+  std::int64_t WantedReaders(const std::string& aService,
                              const role_split& aSplit,
                              std::uint64_t aMemory,
                              instant aNow) const;
@@ -68,7 +68,7 @@
                    instant aNow,
                    std::vector<role_change>& aChanges);
   /** @return the role an engine has, or will have once a recent order is done. */
-  engine_role RoleToCome(const runner_state& aEngine, instant aNow) const;
+  engine_role RoleAfterOrder(const runner_state& aEngine, instant aNow) const;
   /** Engines of a role by hall, without those already chosen to change. */
   using engines_by_hall = std::map<std::string, int>;
 
@@ -91,11 +91,11 @@
     instant mAt{ 0 };                       ///< When.
   };
 
-  std::map<service_runner_id, given_order> mOrdered; ///< Last order by engine.
-  engine_work mEngines;                              ///< Of the last call.
-  std::map<std::string, role_work> mWork;            ///< By service.
-  std::map<std::string, instant> mOffSince;          ///< By service: since when the plan isn't met.
-  instant mStarted{ 0 };                             ///< First call.
+  std::map<service_runner_id, given_order> mLastOrders; ///< Last order by engine.
+  engine_work mEngineWork;                              ///< Of the last call.
+  std::map<std::string, role_work> mWork;               ///< By service.
+  std::map<std::string, instant> mMismatchSince; ///< By service: since when the plan isn't met.
+  instant mStarted{ 0 };                         ///< First call.
 };
 
 } // namespace dunehook
--- a/src/roles/role_work.cpp
+++ b/src/roles/role_work.cpp
@@ -13,24 +13,24 @@
 namespace {
 
 /** Span of the means: longer than a change of role takes, so that bursts aren't run after. */
-constexpr double kSpanSeconds = 12.0;
+constexpr double kTimeConstantSeconds = 12.0;
 constexpr double kMicrosPerSecond = 1e6;
 /** Work is known after so long. */
-constexpr duration kLeastSeen = std::chrono::seconds(5);
+constexpr duration kMinObservation = std::chrono::seconds(5);
 /** Part of an engine's memory that runs fill: the rest is kept for answers longer than expected. */
-constexpr double kUsableMemory = 0.8;
+constexpr double kUsableMemoryShare = 0.8;
 /** A change is worth its cost, an engine out of work for some seconds, if the busier role is then
  * busy for this part of what it is now. */
-constexpr double kWorthChange = 0.8;
+constexpr double kMaxUtilizationRatio = 0.8;
 
 /** Engines that each role needs. */
-struct role_need
+struct role_demand
 {
   double mReading = 0.0;    ///< Engines.
   double mGenerating = 0.0; ///< Engines.
 
   /** @return how busy the busier role is if so many of all engines read. */
-  double Busiest(std::int64_t aReading, std::int64_t aAll) const
+  double MaxUtilization(std::int64_t aReading, std::int64_t aAll) const
   {
     if (aReading <= 0 || aReading >= aAll) {
       return std::numeric_limits<double>::max();
@@ -43,23 +43,23 @@
 } // namespace
 
 void
-role_work::Observe(double aReadTokens, double aHeldTokens, instant aNow)
+role_work::AddSample(double aReadTokens, double aHeldTokens, instant aNow)
 {
-  const double passed = ToSeconds(aNow - mSeen);
-  const bool isFirst = mSeen == instant{ 0 };
+  const double passed = ToSeconds(aNow - mLastSample);
+  const bool isFirst = mLastSample == instant{ 0 };
   // Less than before: an engine with its sums is gone.
-  const double read = std::max(0.0, aReadTokens - mReadSeen);
-  const double held = std::max(0.0, aHeldTokens - mHeldSeen);
-  mReadSeen = aReadTokens;
-  mHeldSeen = aHeldTokens;
-  mSeen = aNow;
+  const double read = std::max(0.0, aReadTokens - mLastReadTokens);
+  const double held = std::max(0.0, aHeldTokens - mLastHeldTokens);
+  mLastReadTokens = aReadTokens;
+  mLastHeldTokens = aHeldTokens;
+  mLastSample = aNow;
   if (isFirst || passed <= 0.0) {
     return;
   }
-  if (mSince == instant{ 0 } && read > 0.0) {
-    mSince = aNow;
+  if (mFirstWork == instant{ 0 } && read > 0.0) {
+    mFirstWork = aNow;
   }
-  const double keep = std::exp(-passed / kSpanSeconds);
+  const double keep = std::exp(-passed / kTimeConstantSeconds);
   mReadRate = mReadRate * keep + (1.0 - keep) * read / passed;
   mHeldRate = mHeldRate * keep + (1.0 - keep) * held / passed;
 }
@@ -67,22 +67,23 @@
 bool
 role_work::Known(instant aNow) const
 {
-  const bool longEnough = mSince != instant{ 0 } && aNow - mSince >= kLeastSeen;
+  const bool longEnough = mFirstWork != instant{ 0 } && aNow - mFirstWork >= kMinObservation;
   return longEnough && mReadRate > 0.0 && mHeldRate > 0.0;
 }
 
 std::int64_t
-role_work::Readers(const role_split& aNow, const engine_speeds& aSpeeds, double aMemory) const
+role_work::WantedReaders(const role_split& aNow, const engine_speeds& aSpeeds, double aMemory) const
 {
-  const role_need need{ mReadRate / aSpeeds.mReadTokensPerMicro / kMicrosPerSecond,
-                        mHeldRate * aSpeeds.mMicrosPerToken / (kUsableMemory * aMemory) /
-                          kMicrosPerSecond };
+  const role_demand need{ mReadRate / aSpeeds.mReadTokensPerMicro / kMicrosPerSecond,
+                          mHeldRate * aSpeeds.mMicrosPerToken / (kUsableMemoryShare * aMemory) /
+                            kMicrosPerSecond };
   const std::int64_t all = aNow.mReading + aNow.mGenerating;
   std::int64_t best = aNow.mReading;
   for (std::int64_t reading = 1; reading < all; ++reading) {
-    best = need.Busiest(reading, all) < need.Busiest(best, all) ? reading : best;
+    best = need.MaxUtilization(reading, all) < need.MaxUtilization(best, all) ? reading : best;
   }
-  const bool worthIt = need.Busiest(best, all) < kWorthChange * need.Busiest(aNow.mReading, all);
+  const bool worthIt =
+    need.MaxUtilization(best, all) < kMaxUtilizationRatio * need.MaxUtilization(aNow.mReading, all);
   return worthIt ? best : aNow.mReading;
 }
 
--- a/src/roles/role_work.h
+++ b/src/roles/role_work.h
@@ -30,7 +30,7 @@
    * @param aReadTokens of all prompts that were asked to be read so far.
    * @param aHeldTokens of all runs that were placed so far, see engine_load.
    */
-  void Observe(double aReadTokens, double aHeldTokens, instant aNow);
+  void AddSample(double aReadTokens, double aHeldTokens, instant aNow);
   /** @return whether enough was seen to go by. */
   bool Known(instant aNow) const;
   /**
@@ -38,15 +38,17 @@
    * busy. Those that do now, unless a change makes enough of a difference for what it costs.
    * @param aMemory tokens that an engine holds.
    */
-  std::int64_t Readers(const role_split& aNow, const engine_speeds& aSpeeds, double aMemory) const;
+  std::int64_t WantedReaders(const role_split& aNow,
+                             const engine_speeds& aSpeeds,
+                             double aMemory) const;
 
 private:
-  instant mSince{ 0 };    ///< When there was work for the first time.
-  instant mSeen{ 0 };     ///< When work was looked at last.
-  double mReadSeen = 0.0; ///< Tokens asked to be read by then.
-  double mHeldSeen = 0.0; ///< Tokens asked to be held by then.
-  double mReadRate = 0.0; ///< Tokens asked to be read a second.
-  double mHeldRate = 0.0; ///< Tokens asked to be held a second.
+  instant mFirstWork{ 0 };      ///< When there was work for the first time.
+  instant mLastSample{ 0 };     ///< When work was looked at last.
+  double mLastReadTokens = 0.0; ///< Tokens asked to be read by then.
+  double mLastHeldTokens = 0.0; ///< Tokens asked to be held by then.
+  double mReadRate = 0.0;       ///< Tokens asked to be read a second.
+  double mHeldRate = 0.0;       ///< Tokens asked to be held a second.
 };
 
 } // namespace dunehook
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -543,7 +543,7 @@
   }
 };
 
-TEST(roles, TooManyPrefillEnginesGenerateAtTheStart)
+TEST(roles, ExcessPrefillEnginesBecomeDecodeEnginesAtTheStart)
 {
   List(3, 6);
   const auto changes = Plan();
@@ -551,14 +551,14 @@
   CHECK(changes[0].mRole == engine_role::eDecode);
 }
 
-TEST(roles, AnOrderUnderWayIsNotGivenTwice)
+TEST(roles, APendingOrderIsNotRepeated)
 {
   List(3, 6);
   mPlanner.NoteOrdered(Plan().at(0), kNow);
   CHECK(Plan(kNow + 2s).empty());
 }
 
-TEST(roles, AMissingPrefillEngineIsReplacedOnceItIsMissingForAWhile)
+TEST(roles, AMissingPrefillEngineIsReplacedAfterADelay)
 {
   List(2, 7);
   CHECK(Plan().empty());
@@ -569,7 +569,7 @@
   CHECK(changes[0].mRole == engine_role::ePrefill);
 }
 
-TEST(roles, ADoneOrderDoesNotHoldBackTheNext)
+TEST(roles, ACompletedOrderDoesNotDelayTheNext)
 {
   List(3, 6);
   const role_change ordered = Plan().at(0);
@@ -581,7 +581,7 @@
   CHECK_EQUAL(1U, Plan(kNow + 14s).size());
 }
 
-TEST(roles, ALargeServiceIsChangedStepByStep)
+TEST(roles, ALargeServiceIsChangedInLimitedSteps)
 {
   List(1000, 2000); // A third reads; the plan is for less than a quarter.
   std::size_t ordered = 0;
@@ -598,7 +598,7 @@
 }
 
 // On a deployment whose engines read half as fast, two of nine can't read what comes.
-TEST(roles, WhereEnginesReadSlowlyMoreOfThemRead)
+TEST(roles, SlowReadsCauseMorePrefillEngines)
 {
   List(2, 7);
   const std::vector<role_change> changes = PlayLoad(0.016);
@@ -607,7 +607,7 @@
 }
 
 // Two are right for the same load on quicker engines: none is taken out of work.
-TEST(roles, WhereTheSplitSuitsTheWorkItStays)
+TEST(roles, ASplitThatSuitsTheWorkIsKept)
 {
   List(2, 7);
   CHECK(PlayLoad(0.0333).empty());
