--- a/src/roles/role_controller.h
+++ b/src/roles/role_controller.h
@@ -1,7 +1,8 @@
 /**
  * @file role_controller.h
- * Gives the engines their roles. Orders come from one daemon at a time: the holder of a term in the
- * store, whose number is the orders' fence. Nothing on a request's path waits for this.
+ * Orders the engines to change their roles. Only one daemon at a time sends orders: the holder of
+ * the current term in the store, whose number is the fencing token of the orders. No request waits
+ * for this.
  */
 #pragma once
 
@@ -13,27 +14,29 @@
 
 namespace dunehook {
 
-/** Time between looks at the plan. */
+/** Interval at which the roles are planned. */
 inline constexpr duration kRolePlanInterval = std::chrono::milliseconds(700);
-/** A confirmed term allows orders for this long; a daemon that stood still in between gives none.
+/** A confirmed term allows orders for this long, so that a daemon that was suspended in between
+ * sends none.
  */
 inline constexpr duration kTermValidity = std::chrono::milliseconds(400);
-/** A daemon takes no term before it has run for so long: until it has heard the others, it takes
- * itself for the first of them. */
+/** A daemon takes no term before it has run for this long: until it hears the others, it believes
+ * that it is the first of them. */
 inline constexpr duration kStartupDelay = std::chrono::milliseconds(2500);
-/** After a term went to another daemon, none is asked for until that one has been heard. */
+/** After a term went to another daemon, no term is requested for this long, in which that daemon
+ * should be heard. */
 inline constexpr duration kTermLostDelay = std::chrono::seconds(5);
-/** Longest wait for an engine's answer to an order. */
+/** Timeout for the connection to an engine, and for its answer to an order. */
 inline constexpr duration kOrderTimeout = std::chrono::milliseconds(500);
 
-/** What the controller needs to know of the other daemons. */
+/** State of the other daemons, as needed by the controller. */
 struct role_peers
 {
-  bool mFirst = false;             ///< This daemon comes first among those that are heard.
-  std::vector<std::string> mAlive; ///< Names of daemons that are heard, without this one.
+  bool mFirst = false; ///< Whether this daemon is the first in order of those that are heard.
+  std::vector<std::string> mAlive; ///< Names of the daemons that are heard, without this one.
 };
 
-/** The controller. */
+/** Sends the planned role changes to the engines while this daemon holds the term. */
 template<wire_format Wire, control_store Store>
 class role_controller
 {
@@ -46,7 +49,7 @@
   {
   }
 
-  /** Looks at the plan once, and orders what is wanted if this daemon holds the term. */
+  /** Plans the roles once, and sends the orders if this daemon holds the term. */
   asio::awaitable<void> Tick(role_peers aPeers)
   {
     const memory_lookup memory = [this](const std::string& aService) {
@@ -72,7 +75,8 @@
   }
 
 private:
-  /** @return whether this daemon holds the term now and may give orders. */
+  /** @return whether this daemon holds the term now and may send orders; takes the term if it's
+   * free. */
   asio::awaitable<bool> ConfirmTerm(const role_peers& aPeers)
   {
     const bool mine = mTerm != 0;
@@ -106,9 +110,9 @@
       co_return false;
     }
     mTerm = taken.value().mTerm;
-    // The former holder may have given an order a moment ago; turns within the lease aren't
-    // allowed.
-    // Where the store names none it may have lost it, but for the first start of all.
+    // The former holder may just have sent an order, and an engine must not change its role twice
+    // within the lease time. If the store names no holder, it may have lost the record, except at
+    // the very first start.
     const bool hadHolder = !current.mHolder.empty() || !mState.mSettings.mFirstStart;
     mEarliestOrder =
       mState.Now() + (hadHolder ? mState.mSettings.mLeaseTime * 5 / 4 : duration{ 0 });
@@ -135,13 +139,13 @@
       LogEvent(log_level::eWarning, "order_unsent", { { "runner", order.mRunnerName } });
       co_return;
     }
-    // Connecting takes time, and the machine may have been suspended in it: another daemon may hold
-    // the term by now.
+    // Connecting takes time, in which the machine may have been suspended, so that another daemon
+    // may hold the term by now.
     if (mState.Now() >= mOrdersValidUntil) {
       LogEvent(log_level::eInfo, "order_withheld", { { "runner", order.mRunnerName } });
       co_return;
     }
-    // Sent once: an order without an answer may still be carried out later.
+    // Not repeated: an order without an answer may still be carried out later.
     const result<http_answer> answer = co_await connected.value()->Call(call, kOrderTimeout);
     const unsigned status = answer ? answer.value().mStatus : 0;
     if (status == 202) {
@@ -152,7 +156,7 @@
       mState.mTell(std::move(message));
     }
     if (status == 412) {
-      mTerm = 0; // A later term has given orders.
+      mTerm = 0; // The engine has orders of a later term.
     }
     LogEvent(log_level::eInfo,
              "role_ordered",
@@ -162,14 +166,15 @@
                { "status", status } });
   }
 
-  forward_state& mState;          ///< Shared.
-  Store& mStore;                  ///< Holds the term.
-  role_planner mPlanner;          ///< What is wanted.
-  std::uint64_t mTerm = 0;        ///< The term held; 0 if none.
-  instant mEarliestTermAttempt;   ///< No try to take a term before this.
-  instant mEarliestOrder{ 0 };    ///< No orders before this.
-  instant mOrdersValidUntil{ 0 }; ///< The term was confirmed until then.
-  std::map<service_runner_id, std::uint64_t> mAcceptedOrders; ///< Orders taken in each life.
+  forward_state& mState;          ///< State shared by the parts of the daemon.
+  Store& mStore;                  ///< Store that holds the term.
+  role_planner mPlanner;          ///< Plans the changes.
+  std::uint64_t mTerm = 0;        ///< Number of the term held; 0 if none.
+  instant mEarliestTermAttempt;   ///< No attempt to take a term before this.
+  instant mEarliestOrder{ 0 };    ///< No orders are sent before this.
+  instant mOrdersValidUntil{ 0 }; ///< End of the validity of the last confirmation of the term.
+  /** Orders accepted by each engine; a restarted engine has a new id. */
+  std::map<service_runner_id, std::uint64_t> mAcceptedOrders;
 };
 
 } // namespace dunehook
--- a/src/roles/role_plan.cpp
+++ b/src/roles/role_plan.cpp
@@ -1,6 +1,6 @@
 /**
  * @file role_plan.cpp
- * The plan of roles.
+ * Comparison of current and wanted roles, and choice of the engines to change.
  */
 #include "roles/role_plan.h"
 
@@ -11,17 +11,19 @@
 
 namespace {
 
-/** An order that isn't done yet isn't given again before this: it may be carried out late. */
+/** An order that isn't carried out yet isn't repeated before this, as it may be carried out late.
+ */
 constexpr duration kPendingOrderTimeout = std::chrono::seconds(16);
-/** An engine that has changed its role keeps it for this long at least. */
+/** Least time between two orders to an engine, in which it keeps its role. */
 constexpr duration kMinTimeInRole = std::chrono::seconds(8);
-/** A change costs the engine some seconds out of work, so a gap that may close by itself, since an
- * engine is only silent, isn't filled at once. */
+/** Time for which roles must differ from the wanted ones before a change: it takes the engine out
+ * of service for some seconds, and a missing engine may only be silent and come back. */
 constexpr duration kMismatchDelay = std::chrono::seconds(3);
-/** Changes of a service in one plan: orders are given one after the other, and each takes its
- * engine out of work, so many at once would leave too few. */
+/** Limit of changes of a service in one plan. Orders are sent one after the other, and each takes
+ * its engine out of service, so that many at once would leave too few. */
 constexpr std::int64_t kMaxChangesPerPlan = 16;
-/** At the start nothing is running yet, and a change costs nothing. */
+/** Time after the first plan in which changes aren't delayed: nothing runs yet, so that a change
+ * costs nothing. */
 constexpr duration kStartPeriod = std::chrono::seconds(8);
 
 } // namespace
@@ -108,7 +110,8 @@
   const engine_role from = tooMany ? engine_role::ePrefill : engine_role::eDecode;
   const engine_role to = tooMany ? engine_role::eDecode : engine_role::ePrefill;
   const std::int64_t missing = std::abs(split.mReading - wanted);
-  // The hall with the most engines of the role gives one, so that halls stay alike.
+  // Engines are taken from the data hall with the most engines of the role, which keeps the halls
+  // balanced.
   engines_by_hall byHall;
   for (const runner_state* const engine : aEngines) {
     byHall[engine->mEntry.mHall] += RoleAfterOrder(*engine, aNow) == from ? 1 : 0;
--- a/src/roles/role_plan.h
+++ b/src/roles/role_plan.h
@@ -1,6 +1,6 @@
 /**
  * @file role_plan.h
- * Plans which engines read prompts and which generate. Pure.
+ * Plans which engines are prefill engines and which are decode engines. Pure: no I/O, no clock.
  */
 #pragma once
 
@@ -14,50 +14,53 @@
 
 namespace dunehook {
 
-/** A change of role that the plan wants. */
+/** A planned change of an engine's role. */
 struct role_change
 {
   service_runner_id mRunner;              ///< Engine to change.
-  engine_role mRole = engine_role::eNone; ///< Role it shall take.
+  engine_role mRole = engine_role::eNone; ///< Role to change to.
 
   auto operator<=>(const role_change&) const = default;
 };
 
-/** Tokens that an engine of a service holds; 0 if it isn't known. */
+/** @return tokens that fit into the memory of an engine of a service; 0 if unknown. */
 using memory_lookup = std::function<std::uint64_t(const std::string& aService)>;
 
-/** Plans the roles of the engines of all services: at first by a share of them, then by the work
- * that their traffic makes. */
+/** Plans the roles of the engines of all services: at first by a fixed share of prefill engines,
+ * then by the measured work. */
 class role_planner
 {
 public:
-  /** @param aPrefillShare part of the engines that read, until the work is known. */
+  /** @param aPrefillShare share of the engines that are prefill engines, until the work is known.
+   */
   explicit role_planner(double aPrefillShare)
     : mPrefillShare(aPrefillShare)
   {
   }
 
   /**
-   * Compares what engines do with what they should.
-   * @param aWork what engines have to do; their runs end before they change.
-   * @return changes wanted now: those that were wanted for a while, or any in the first moments.
+   * Compares the engines' roles with the wanted ones.
+   * @param aWork load of the engines. Those with few runs change first, as their runs must end
+   * before the change.
+   * @return changes to order now. After a start they are returned at once, later only when the
+   * roles have been off for some seconds.
    */
   std::vector<role_change> Plan(const runner_table& aRunners,
                                 const engine_work& aWork,
                                 const memory_lookup& aMemory,
                                 instant aNow);
-  /** Notes that an engine was ordered, so that it's left alone until the order must be done. */
+  /** Records an order, so that the engine isn't chosen again while the order is pending. */
   void NoteOrdered(const role_change& aChange, instant aNow)
   {
     mLastOrders[aChange.mRunner] = { aChange.mRole, aNow };
   }
 
 private:
-  /** Takes in the work of a service's engines. */
+  /** Adds a sample of the work of a service's engines. */
   void AddWorkSample(const std::string& aService,
                      const std::vector<const runner_state*>& aEngines,
                      instant aNow);
-  /** @return how many engines of a service should read. */
+  /** @return wanted number of prefill engines of a service. */
   std::int64_t WantedReaders(const std::string& aService,
                              const role_split& aSplit,
                              std::uint64_t aMemory,
@@ -67,15 +70,15 @@
                    std::uint64_t aMemory,
                    instant aNow,
                    std::vector<role_change>& aChanges);
-  /** @return the role an engine has, or will have once a recent order is done. */
+  /** @return the role of an engine, or the one that it will have after a pending order. */
   engine_role RoleAfterOrder(const runner_state& aEngine, instant aNow) const;
-  /** Engines of a role by hall, without those already chosen to change. */
+  /** Number of engines of a role by data hall, without those already chosen to change. */
   using engines_by_hall = std::map<std::string, int>;
 
   /**
-   * @param aByHall engines of the role @p aFrom.
-   * @param aChosen engines that are to change already.
-   * @return an engine that may change from a role, or null.
+   * @param aByHall number of engines of the role @p aFrom by data hall.
+   * @param aChosen engines already chosen to change.
+   * @return the best engine to change from @p aFrom, or null if there's none.
    */
   const runner_state* ChooseEngine(const std::vector<const runner_state*>& aEngines,
                                    engine_role aFrom,
@@ -83,19 +86,20 @@
                                    const engines_by_hall& aByHall,
                                    const std::set<service_runner_id>& aChosen) const;
 
-  double mPrefillShare; ///< Part of the engines that read, until the work is known.
-  /** An order that was given. */
+  double mPrefillShare; ///< Share of prefill engines until the work is known.
+  /** An order that was sent to an engine. */
   struct given_order
   {
     engine_role mRole = engine_role::eNone; ///< Role ordered.
-    instant mAt{ 0 };                       ///< When.
+    instant mAt{ 0 };                       ///< Time of the order.
   };
 
-  std::map<service_runner_id, given_order> mLastOrders; ///< Last order by engine.
-  engine_work mEngineWork;                              ///< Of the last call.
-  std::map<std::string, role_work> mWork;               ///< By service.
-  std::map<std::string, instant> mMismatchSince; ///< By service: since when the plan isn't met.
-  instant mStarted{ 0 };                         ///< First call.
+  std::map<service_runner_id, given_order> mLastOrders; ///< Last order to each engine.
+  engine_work mEngineWork;                ///< Load and speeds passed to the last Plan().
+  std::map<std::string, role_work> mWork; ///< Averages of the work by service.
+  /** By service: since when the roles differ from the wanted ones. */
+  std::map<std::string, instant> mMismatchSince;
+  instant mStarted{ 0 }; ///< Time of the first Plan().
 };
 
 } // namespace dunehook
--- a/src/roles/role_work.cpp
+++ b/src/roles/role_work.cpp
@@ -1,6 +1,6 @@
 /**
  * @file role_work.cpp
- * Means of the work, and the split of the engines that suits it.
+ * Moving averages of the work, and the split of the engines that suits it.
  */
 #include "roles/role_work.h"
 
@@ -12,24 +12,27 @@
 
 namespace {
 
-/** Span of the means: longer than a change of role takes, so that bursts aren't run after. */
+/** Time constant of the averages: longer than a change of role takes, so that roles don't follow
+ * bursts. */
 constexpr double kTimeConstantSeconds = 12.0;
 constexpr double kMicrosPerSecond = 1e6;
-/** Work is known after so long. */
+/** Time with work after which the averages are used. */
 constexpr duration kMinObservation = std::chrono::seconds(5);
-/** Part of an engine's memory that runs fill: the rest is kept for answers longer than expected. */
+/** Share of an engine's memory that runs may fill; the rest is kept for answers longer than
+ * expected. */
 constexpr double kUsableMemoryShare = 0.8;
-/** A change is worth its cost, an engine out of work for some seconds, if the busier role is then
- * busy for this part of what it is now. */
+/** A change takes an engine out of service for some seconds. It is made if it reduces the
+ * utilization of the busier role to less than this share of its current value. */
 constexpr double kMaxUtilizationRatio = 0.8;
 
-/** Engines that each role needs. */
+/** Number of engines that each role needs for the work. */
 struct role_demand
 {
-  double mReading = 0.0;    ///< Engines.
-  double mGenerating = 0.0; ///< Engines.
+  double mReading = 0.0;    ///< Prefill engines needed.
+  double mGenerating = 0.0; ///< Decode engines needed.
 
-  /** @return how busy the busier role is if so many of all engines read. */
+  /** @return utilization of the busier role if @p aReading of @p aAll engines are prefill engines.
+   */
   double MaxUtilization(std::int64_t aReading, std::int64_t aAll) const
   {
     if (aReading <= 0 || aReading >= aAll) {
@@ -47,7 +50,7 @@
 {
   const double passed = ToSeconds(aNow - mLastSample);
   const bool isFirst = mLastSample == instant{ 0 };
-  // Less than before: an engine with its sums is gone.
+  // A total falls when an engine is gone and its work is no longer counted.
   const double read = std::max(0.0, aReadTokens - mLastReadTokens);
   const double held = std::max(0.0, aHeldTokens - mLastHeldTokens);
   mLastReadTokens = aReadTokens;
--- a/src/roles/role_work.h
+++ b/src/roles/role_work.h
@@ -1,7 +1,7 @@
 /**
  * @file role_work.h
- * How much of a service's engines its traffic needs for reading prompts, and how much for
- * generating, as seen of late. From both follows how many engines should read. Pure.
+ * Recent work of a service's traffic for its engines: prompt reads and generation. From both
+ * follows how many of the engines should be prefill engines. Pure: no I/O, no clock.
  */
 #pragma once
 
@@ -11,44 +11,45 @@
 
 namespace dunehook {
 
-/** Engines of a service by what they do. */
+/** Number of engines of a service by role. */
 struct role_split
 {
-  std::int64_t mReading = 0;    ///< Engines that read prompts.
-  std::int64_t mGenerating = 0; ///< Engines that generate.
+  std::int64_t mReading = 0;    ///< Prefill engines.
+  std::int64_t mGenerating = 0; ///< Decode engines.
 
   auto operator<=>(const role_split&) const = default;
 };
 
-/** The work of a service's engines, as means over some seconds. */
+/** Work per second of a service's engines, as moving averages over some seconds. */
 class role_work
 {
 public:
   /**
-   * Takes in what is seen now. Both count from the same requests, so that their ratio is right also
-   * as a peak begins, when prompts are read and nothing is generated yet.
-   * @param aReadTokens of all prompts that were asked to be read so far.
-   * @param aHeldTokens of all runs that were placed so far, see engine_load.
+   * Adds a sample of the totals. Both totals count the work of the same requests when they are
+   * placed, so that their ratio is also right at the begin of a peak, when prompts are read and
+   * nothing is generated yet.
+   * @param aReadTokens total of all prompts that the engines were asked to read so far.
+   * @param aHeldTokens total of all runs that were placed so far, see engine_load.
    */
   void AddSample(double aReadTokens, double aHeldTokens, instant aNow);
-  /** @return whether enough was seen to go by. */
+  /** @return whether there was work for long enough to plan by it. */
   bool Known(instant aNow) const;
   /**
-   * @return how many engines should read: as many as make the busier of the two roles the least
-   * busy. Those that do now, unless a change makes enough of a difference for what it costs.
-   * @param aMemory tokens that an engine holds.
+   * @return wanted number of prefill engines: the one that minimizes the utilization of the busier
+   * role, or the current one if the gain isn't worth the cost of a change.
+   * @param aMemory tokens that fit into an engine's memory.
    */
   std::int64_t WantedReaders(const role_split& aNow,
                              const engine_speeds& aSpeeds,
                              double aMemory) const;
 
 private:
-  instant mFirstWork{ 0 };      ///< When there was work for the first time.
-  instant mLastSample{ 0 };     ///< When work was looked at last.
-  double mLastReadTokens = 0.0; ///< Tokens asked to be read by then.
-  double mLastHeldTokens = 0.0; ///< Tokens asked to be held by then.
-  double mReadRate = 0.0;       ///< Tokens asked to be read a second.
-  double mHeldRate = 0.0;       ///< Tokens asked to be held a second.
+  instant mFirstWork{ 0 };      ///< Time of the first sample with work.
+  instant mLastSample{ 0 };     ///< Time of the last sample.
+  double mLastReadTokens = 0.0; ///< Total of prompt tokens in the last sample.
+  double mLastHeldTokens = 0.0; ///< Total of held tokens in the last sample.
+  double mReadRate = 0.0;       ///< Prompt tokens to read per second.
+  double mHeldRate = 0.0;       ///< Held tokens per second, as in engine_load.
 };
 
 } // namespace dunehook
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -486,10 +486,10 @@
 TEST_GROUP(roles)
 {
   runner_table mRunners;         ///< The engines.
-  role_planner mPlanner{ 0.22 }; ///< The planner under test.
+  role_planner mPlanner{ 0.22 }; ///< Planner under test.
   std::uint64_t mListings = 0;   ///< Listings applied.
 
-  /** @param aChanged a prefill engine that generates by now. */
+  /** @param aChanged an engine that was a prefill engine and is a decode engine now. */
   void List(int aPrefills, int aDecodes, instant aNow = kNow, service_runner_id aChanged = {})
   {
     std::vector<runner_entry> entries;
@@ -506,12 +506,13 @@
     }
     mRunners.Apply({ entries, { 0, ++mListings } }, aNow, false);
   }
-  /** Plays a load: 10.4 generations a second, on engines that read so many tokens a microsecond.
-   * @return changes that were wanted; each is ordered as it's wanted. */
+  /** Simulates a load of 10.4 generations per second. @param aReadSpeed read speed in tokens per
+   * microsecond.
+   * @return planned changes; each is recorded as ordered at once. */
   std::vector<role_change> PlayLoad(double aReadSpeed)
   {
-    constexpr double kReadRate = 33300.0; // Tokens a second.
-    constexpr double kHeldRate = 25.8e6;  // Tokens held, over the tokens made, a second.
+    constexpr double kReadRate = 33300.0; // Tokens per second.
+    constexpr double kHeldRate = 25.8e6;  // Held tokens per second, as in engine_load.
     constexpr double kMicrosPerToken = 5500.0;
     const auto memory = [](const std::string&) { return std::uint64_t{ 41191 }; };
     std::vector<role_change> all;
@@ -524,13 +525,13 @@
         mPlanner.NoteOrdered(change, kNow + passed);
         all.push_back(change);
       }
-      if (passed == 14s) { // Done, if there was any.
+      if (passed == 14s) { // The change is carried out, if there was one.
         ListDone(all, kNow + passed);
       }
     }
     return all;
   }
-  /** Lists two engines that read and seven that generate, after changes. */
+  /** Lists two prefill and seven decode engines after changes of decode to prefill. */
   void ListDone(const std::vector<role_change>& aChanges, instant aNow)
   {
     const auto reads = static_cast<int>(aChanges.size());
@@ -574,16 +575,16 @@
   List(3, 6);
   const role_change ordered = Plan().at(0);
   mPlanner.NoteOrdered(ordered, kNow);
-  List(3, 6, kNow + 8s, ordered.mRunner); // Done.
+  List(3, 6, kNow + 8s, ordered.mRunner); // Carried out.
   CHECK(Plan(kNow + 8s).empty());
-  List(2, 6, kNow + 10s, ordered.mRunner); // An engine that reads is lost.
+  List(2, 6, kNow + 10s, ordered.mRunner); // A prefill engine is lost.
   Plan(kNow + 10s);
   CHECK_EQUAL(1U, Plan(kNow + 14s).size());
 }
 
 TEST(roles, ALargeServiceIsChangedInLimitedSteps)
 {
-  List(1000, 2000); // A third reads; the plan is for less than a quarter.
+  List(1000, 2000); // A third are prefill engines; less than a quarter are wanted.
   std::size_t ordered = 0;
   for (int tick = 0; tick < 50; ++tick) {
     const auto changes = Plan(kNow + tick * 10ms);
@@ -597,7 +598,8 @@
   CHECK(Plan(kNow + 1s).empty());
 }
 
-// On a deployment whose engines read half as fast, two of nine can't read what comes.
+// Guards against too few prefill engines where reads are slow: at half the read speed, two of nine
+// engines can't read all prompts.
 TEST(roles, SlowReadsCauseMorePrefillEngines)
 {
   List(2, 7);
@@ -606,7 +608,7 @@
   CHECK(changes[0].mRole == engine_role::ePrefill);
 }
 
-// Two are right for the same load on quicker engines: none is taken out of work.
+// Guards against needless changes: with faster engines two are enough for the same load.
 TEST(roles, ASplitThatSuitsTheWorkIsKept)
 {
   List(2, 7);
