--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -41,8 +41,8 @@
 constexpr double kOtherHallTransferCostMicros = 25000.0;
 /** Cost, as waiting, of events sent from another data hall. */
 constexpr double kOtherHallCallCostMicros = 6000.0;
-/** Cost, as waiting, of a full engine: tokens come slower, and length estimates that are too low do
- * more harm. */
+/** Cost, as waiting, of a full engine: tokens come slower, and length estimates fail
+ * more often. */
 constexpr double kFullEngineCostMicros = 400000.0;
 /** Read speed of a decode engine relative to a prefill engine. */
 constexpr double kDecodeReadSpeedFactor = 0.5;
