--- a/src/forward/gateway.h
+++ b/src/forward/gateway.h
@@ -69,7 +69,7 @@
     mState.mReportServed = [this](request_fingerprint aRequest) {
       mQuarantines.Link().NoteServed(aRequest);
     };
-    mState.mAskPlacer = [this](place_question aQuestion, std::function<bool()> aGone) {
+    mState.mAskPlacer = [this](place_request aQuestion, std::function<bool()> aGone) {
       return mPlacers.Ask(std::move(aQuestion), std::move(aGone));
     };
   }
@@ -308,9 +308,9 @@
 
   asio::awaitable<void> TickRoles()
   {
-    co_await Sleep(kRoleTick); // Until the other daemons were heard.
+    co_await Sleep(kRolePlanInterval); // Until the other daemons were heard.
     for (;;) {
-      co_await Sleep(kRoleTick);
+      co_await Sleep(kRolePlanInterval);
       if (!Ready() || mFollower.Contact().WasAway()) {
         continue;
       }
--- a/src/placement/event_rate.h
+++ b/src/placement/event_rate.h
@@ -1,6 +1,6 @@
 /**
  * @file event_rate.h
- * How often something happened lately. Pure.
+ * Exponentially decaying estimate of an event rate. Pure: no I/O, no clock.
  */
 #pragma once
 
@@ -10,26 +10,27 @@
 
 namespace dunehook {
 
-/** Events a second, of which older ones count less. */
+/** Events per second; the weight of an event decays with its age. */
 class event_rate
 {
 public:
   void Note(instant aNow)
   {
-    mRate = PerSecond(aNow) + 1.0 / ToSeconds(kMemory);
-    mSeen = aNow;
+    mRate = PerSecond(aNow) + 1.0 / ToSeconds(kTimeConstant);
+    mLastEvent = aNow;
   }
   double PerSecond(instant aNow) const
   {
-    return mRate * std::exp(-ToSeconds(aNow - mSeen) / ToSeconds(kMemory));
+    return mRate * std::exp(-ToSeconds(aNow - mLastEvent) / ToSeconds(kTimeConstant));
   }
 
 private:
-  /** An event's weight falls to 37% in this time: some tens of events on a busy service. */
-  static constexpr duration kMemory = std::chrono::seconds(1);
+  /** An event's weight falls to 37% in this time, which spans some tens of events on a busy
+   * service. */
+  static constexpr duration kTimeConstant = std::chrono::seconds(1);
 
-  double mRate = 0.0; ///< At mSeen.
-  instant mSeen{ 0 }; ///< The last event.
+  double mRate = 0.0;      ///< Events per second at mLastEvent.
+  instant mLastEvent{ 0 }; ///< Time of the last event.
 };
 
 } // namespace dunehook
--- a/src/placement/placement_func.h
+++ b/src/placement/placement_func.h
@@ -1,6 +1,6 @@
 /**
  * @file placement_func.h
- * What the choice of engines and the table of runs both work out.
+ * Helpers shared by the choice of engines and the table of runs.
  */
 #pragma once
 
@@ -14,17 +14,17 @@
   return static_cast<double>(aSpan.count());
 }
 
-/** @return what a run takes of memory over its time, in tokens squared. */
+/** @return a run's memory use integrated over its answer: tokens held times tokens generated. */
 inline double
-SizeOf(std::uint32_t aPrompt, std::uint32_t aAnswer)
+RequestSize(std::uint32_t aPrompt, std::uint32_t aAnswer)
 {
   const double answer = aAnswer;
   return answer * (aPrompt + answer / 2.0);
 }
 
-/** @return what a run holds at its end, if its answer is as long as guessed. */
+/** @return tokens that a run holds at its end if its answer has the estimated length. */
 inline std::uint64_t
-PromisedTokens(const run_record& aRun)
+CommittedTokens(const run_record& aRun)
 {
   return std::uint64_t{ aRun.mPromptTokens } + aRun.mAnswerTokens;
 }
--- a/src/roles/role_controller.h
+++ b/src/roles/role_controller.h
@@ -1,7 +1,8 @@
 /**
  * @file role_controller.h
- * Gives the engines their roles. Orders come from one daemon at a time: the holder of a term in the
- * store, whose number is the orders' fence. Nothing on a request's path waits for this.
+ * Orders the engines to change their roles. Only one daemon at a time sends orders: the holder of
+ * the current term in the store, whose number is the fencing token of the orders. No request waits
+ * for this.
  */
 #pragma once
 
@@ -13,27 +14,29 @@
 
 namespace dunehook {
 
-/** Time between looks at the plan. */
-inline constexpr duration kRoleTick = std::chrono::milliseconds(700);
-/** A confirmed term allows orders for this long; a daemon that stood still in between gives none.
+/** Interval at which the roles are planned. */
+inline constexpr duration kRolePlanInterval = std::chrono::milliseconds(700);
+/** A confirmed term allows orders for this long, so that a daemon that was suspended in between
+ * sends none.
  */
-inline constexpr duration kTermFresh = std::chrono::milliseconds(400);
-/** A daemon takes no term before it has run for so long: until it has heard the others, it takes
- * itself for the first of them. */
-inline constexpr duration kHearsOthersFor = std::chrono::milliseconds(2500);
-/** After a term went to another daemon, none is asked for until that one has been heard. */
-inline constexpr duration kTermLostRest = std::chrono::seconds(5);
-/** Longest wait for an engine's answer to an order. */
-inline constexpr duration kOrderTime = std::chrono::milliseconds(500);
+inline constexpr duration kTermValidity = std::chrono::milliseconds(400);
+/** A daemon takes no term before it has run for this long: until it hears the others, it believes
+ * that it is the first of them. */
+inline constexpr duration kStartupDelay = std::chrono::milliseconds(2500);
+/** After a term went to another daemon, no term is requested for this long, in which that daemon
+ * should be heard. */
+inline constexpr duration kTermLostDelay = std::chrono::seconds(5);
+/** Timeout for the connection to an engine, and for its answer to an order. */
+inline constexpr duration kOrderTimeout = std::chrono::milliseconds(500);
 
-/** What the controller needs to know of the other daemons. */
+/** State of the other daemons, as needed by the controller. */
 struct role_peers
 {
-  bool mFirst = false;             ///< This daemon comes first among those that are heard.
-  std::vector<std::string> mAlive; ///< Names of daemons that are heard, without this one.
+  bool mFirst = false; ///< Whether this daemon is the first in order of those that are heard.
+  std::vector<std::string> mAlive; ///< Names of the daemons that are heard, without this one.
 };
 
-/** The controller. */
+/** Sends the planned role changes to the engines while this daemon holds the term. */
 template<wire_format Wire, control_store Store>
 class role_controller
 {
@@ -42,11 +45,11 @@
     : mState(aState)
     , mStore(aStore)
     , mPlanner(aState.mSettings.mPlacement.mPrefillShare)
-    , mTermFrom(aState.Now() + kHearsOthersFor)
+    , mEarliestTermAttempt(aState.Now() + kStartupDelay)
   {
   }
 
-  /** Looks at the plan once, and orders what is wanted if this daemon holds the term. */
+  /** Plans the roles once, and sends the orders if this daemon holds the term. */
   asio::awaitable<void> Tick(role_peers aPeers)
   {
     const memory_lookup memory = [this](const std::string& aService) {
@@ -58,13 +61,13 @@
     if (wanted.empty() || mState.mStopping) {
       co_return;
     }
-    const bool holds = co_await Confirm(aPeers);
+    const bool holds = co_await ConfirmTerm(aPeers);
     if (!holds) {
       co_return;
     }
-    mOrdersUntil = mState.Now() + kTermFresh;
+    mOrdersValidUntil = mState.Now() + kTermValidity;
     for (const role_change& change : wanted) {
-      if (mState.Now() >= mOrdersUntil) {
+      if (mState.Now() >= mOrdersValidUntil) {
         co_return;
       }
       co_await Order(change);
@@ -72,11 +75,12 @@
   }
 
 private:
-  /** @return whether this daemon holds the term now and may give orders. */
-  asio::awaitable<bool> Confirm(const role_peers& aPeers)
+  /** @return whether this daemon holds the term now and may send orders; takes the term if it's
+   * free. */
+  asio::awaitable<bool> ConfirmTerm(const role_peers& aPeers)
   {
     const bool mine = mTerm != 0;
-    if (!mine && (!aPeers.mFirst || mState.Now() < mTermFrom)) {
+    if (!mine && (!aPeers.mFirst || mState.Now() < mEarliestTermAttempt)) {
       co_return false;
     }
     const result<term_record> read = co_await mStore.ReadTerm();
@@ -85,13 +89,13 @@
     }
     const term_record& current = read.value();
     if (mine && current.mTerm == mTerm) {
-      co_return mState.Now() >= mOrdersFrom;
+      co_return mState.Now() >= mEarliestOrder;
     }
     mTerm = 0;
     const auto& alive = aPeers.mAlive;
     const bool otherAlive = std::find(alive.begin(), alive.end(), current.mHolder) != alive.end();
     if (!aPeers.mFirst || otherAlive) {
-      mTermFrom = mState.Now() + kTermLostRest;
+      mEarliestTermAttempt = mState.Now() + kTermLostDelay;
       co_return false;
     }
     const result<term_record> taken =
@@ -102,15 +106,16 @@
                { "former", current.mHolder },
                { "outcome", taken ? "ok" : ErrorName(taken.error()) } });
     if (!taken) {
-      mTermFrom = mState.Now() + kTermLostRest;
+      mEarliestTermAttempt = mState.Now() + kTermLostDelay;
       co_return false;
     }
     mTerm = taken.value().mTerm;
-    // The former holder may have given an order a moment ago; turns within the lease aren't
-    // allowed.
-    // Where the store names none it may have lost it, but for the first start of all.
+    // The former holder may just have sent an order, and an engine must not change its role twice
+    // within the lease time. If the store names no holder, it may have lost the record, except at
+    // the very first start.
     const bool hadHolder = !current.mHolder.empty() || !mState.mSettings.mFirstStart;
-    mOrdersFrom = mState.Now() + (hadHolder ? mState.mSettings.mLeaseTime * 5 / 4 : duration{ 0 });
+    mEarliestOrder =
+      mState.Now() + (hadHolder ? mState.mSettings.mLeaseTime * 5 / 4 : duration{ 0 });
     co_return !hadHolder;
   }
 
@@ -125,33 +130,33 @@
     order.mRole = aChange.mRole;
     order.mHolder = mState.mSettings.mName;
     order.mTerm = mTerm;
-    order.mAfterOrders = mOrdersTaken[aChange.mRunner];
+    order.mAfterOrders = mAcceptedOrders[aChange.mRunner];
     const endpoint address = runner->mEntry.mAddress;
     mPlanner.NoteOrdered(aChange, mState.Now());
     const http_call call = Wire::OrderCall(order);
-    auto connected = co_await http_connection::Connect(address, kOrderTime);
+    auto connected = co_await http_connection::Connect(address, kOrderTimeout);
     if (!connected) {
       LogEvent(log_level::eWarning, "order_unsent", { { "runner", order.mRunnerName } });
       co_return;
     }
-    // Connecting takes time, and the machine may have been suspended in it: another daemon may hold
-    // the term by now.
-    if (mState.Now() >= mOrdersUntil) {
+    // Connecting takes time, in which the machine may have been suspended, so that another daemon
+    // may hold the term by now.
+    if (mState.Now() >= mOrdersValidUntil) {
       LogEvent(log_level::eInfo, "order_withheld", { { "runner", order.mRunnerName } });
       co_return;
     }
-    // Sent once: an order without an answer may still be carried out later.
-    const result<http_answer> answer = co_await connected.value()->Call(call, kOrderTime);
+    // Not repeated: an order without an answer may still be carried out later.
+    const result<http_answer> answer = co_await connected.value()->Call(call, kOrderTimeout);
     const unsigned status = answer ? answer.value().mStatus : 0;
     if (status == 202) {
-      ++mOrdersTaken[aChange.mRunner];
+      ++mAcceptedOrders[aChange.mRunner];
       mState.mRunners.NoteRoleChange(aChange.mRunner, mState.Now() + kMaxRoleChangeTime);
       run_message message;
       message.mOrdered.push_back(aChange.mRunner);
       mState.mTell(std::move(message));
     }
     if (status == 412) {
-      mTerm = 0; // A later term has given orders.
+      mTerm = 0; // The engine has orders of a later term.
     }
     LogEvent(log_level::eInfo,
              "role_ordered",
@@ -161,14 +166,15 @@
                { "status", status } });
   }
 
-  forward_state& mState;                                   ///< Shared.
-  Store& mStore;                                           ///< Holds the term.
-  role_planner mPlanner;                                   ///< What is wanted.
-  std::uint64_t mTerm = 0;                                 ///< The term held; 0 if none.
-  instant mTermFrom;                                       ///< No try to take a term before this.
-  instant mOrdersFrom{ 0 };                                ///< No orders before this.
-  instant mOrdersUntil{ 0 };                               ///< The term was confirmed until then.
-  std::map<service_runner_id, std::uint64_t> mOrdersTaken; ///< Orders taken in each life.
+  forward_state& mState;          ///< State shared by the parts of the daemon.
+  Store& mStore;                  ///< Store that holds the term.
+  role_planner mPlanner;          ///< Plans the changes.
+  std::uint64_t mTerm = 0;        ///< Number of the term held; 0 if none.
+  instant mEarliestTermAttempt;   ///< No attempt to take a term before this.
+  instant mEarliestOrder{ 0 };    ///< No orders are sent before this.
+  instant mOrdersValidUntil{ 0 }; ///< End of the validity of the last confirmation of the term.
+  /** Orders accepted by each engine; a restarted engine has a new id. */
+  std::map<service_runner_id, std::uint64_t> mAcceptedOrders;
 };
 
 } // namespace dunehook
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file placement_test.cpp
- * Placement of generations and the plan of roles, in virtual time.
+ * Tests of the placement of generations and of the role planner, in virtual time.
  */
 #include "core/text_func.h"
 #include "placement/placement.h"
@@ -60,8 +60,8 @@
 TEST_GROUP(placement)
 {
   runner_table mRunners;       ///< The engines.
-  placement_table mPlacement;  ///< The table under test.
-  std::uint64_t mRuns = 0;     ///< Runs begun.
+  placement_table mPlacement;  ///< Table under test.
+  std::uint64_t mRuns = 0;     ///< Number of runs begun.
   std::uint64_t mListings = 0; ///< Listings applied.
 
   void List(const std::vector<runner_entry>& aEntries)
@@ -72,7 +72,7 @@
   {
     return mPlacement.Choose(aDemand, Traits(), mRunners, aNow);
   }
-  /** Lets a run end on engine "d" beside which it read a prompt. */
+  /** Ends a run on engine "d" that was generating while the engine read a prompt. */
   void EndBesideRead(duration aLongestGap, instant aNow)
   {
     const generation_demand reader = Demand(++mRuns, 2000);
@@ -83,7 +83,7 @@
     mPlacement.NoteFinished({ beside.mRun, 900, 800, 2s, aLongestGap }, aNow);
     mPlacement.End(beside.mRun);
   }
-  /** Lets so many reads wait at engine "p" that it reads too late for anybody. */
+  /** Queues so many reads at engine "p" that any further read would be late. */
   void PutBehind(instant aNow)
   {
     for (int i = 0; i < 12; ++i) {
@@ -95,7 +95,7 @@
     aDemand.mWaited = aPart;
     return aDemand;
   }
-  /** Places runs until there's no place for another. @return how many. */
+  /** Places runs until no further one fits. @return number of placed runs. */
   int Fill(instant aNow = kNow)
   {
     int placed = 0;
@@ -132,7 +132,7 @@
   CHECK(answer.mReason == no_place::eNoEngine);
 }
 
-TEST(placement, ReadsElsewhereWhereAPrefillEngineIsFree)
+TEST(placement, APromptIsReadByAFreePrefillEngine)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   const placement_answer answer = Choose(Demand(1));
@@ -144,7 +144,7 @@
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   const int placed = Fill();
-  // 90,000 tokens hold 10 runs of 9,000; the growing ones leave room for some more.
+  // 90,000 tokens hold 10 full runs of 9,000; a few more fit as the runs are still growing.
   CHECK(placed >= 7);
   CHECK(placed <= 12);
   generation_demand demand = Demand(++mRuns);
@@ -153,7 +153,7 @@
   CHECK(answer.mFreeIn > 0ms);
 }
 
-TEST(placement, RunsOfOtherDaemonsCountAndTheirEndGivesRoom)
+TEST(placement, RunsOfOtherDaemonsUseMemoryUntilTheyEnd)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   std::vector<run_record> theirs;
@@ -191,7 +191,7 @@
 TEST(placement, AReadThatWouldBeLateIsRefused)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
-  for (int i = 0; i < 12; ++i) { // About 1.2 s of reads are ahead, for another engine.
+  for (int i = 0; i < 12; ++i) { // About 1.2 s of reads are queued.
     generation_demand demand = Demand(++mRuns);
     Begin(demand, { RunnerIdOf("other"), RunnerIdOf("p"), 0ms, 0ms, 0.0 }, kNow);
   }
@@ -200,28 +200,28 @@
   CHECK(answer.mReason == no_place::eTooLate);
 }
 
-// Five reads wait at an engine that is slower than expected. Each ends late by the same delay as
-// the one before it and its own: taking the delays off one by one made the queue's end wrong by
-// seconds.
-TEST(placement, AQueueOfReadsIsAsLongAsWhatIsLeftOfIt)
+// Guards against counting one delay several times. Five reads wait at an engine that is slower than
+// expected, and each ends late by the delays of all reads before it and its own. Adjusting the
+// queue's end by each of these delays made it wrong by seconds.
+TEST(placement, DelaysOfFinishedReadsDoNotAddUpInTheReadQueue)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   for (std::uint64_t run = 1; run <= 5; ++run) {
     Begin(Demand(run), { RunnerIdOf("other"), RunnerIdOf("p"), 0ms, 0ms, 0.0 }, kNow);
   }
-  // Expected after 100, 200, 300 and 400 ms; they take half as long again.
+  // Expected after 100, 200, 300 and 400 ms; each takes 50% longer.
   for (int read = 1; read <= 4; ++read) {
     const duration took = read * 150ms;
     mPlacement.NoteRead({ static_cast<std::uint64_t>(read) }, RunnerIdOf("p"), took, kNow + took);
   }
   const placement_answer answer = Choose(Demand(9), kNow + 600ms);
   CHECK(answer.mChoice.has_value());
-  // One read is left, and the newcomer's own: 100 ms each at the first guess of the speed.
+  // One read is left, and the new one: 100 ms each at the default speed.
   CHECK(answer.mChoice->mUntilRead > 190ms);
   CHECK(answer.mChoice->mUntilRead < 320ms);
 }
 
-TEST(placement, AReadThatIsNeverDoneLeavesTheQueue)
+TEST(placement, AReadThatNeverHappensLeavesTheReadQueue)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   for (std::uint64_t run = 1; run <= 12; ++run) {
@@ -257,7 +257,8 @@
   const placement_answer answer = Choose(Demand(++mRuns, 2000), later);
   CHECK(answer.mChoice.has_value());
   CHECK_FALSE(answer.mChoice->mPrefill.has_value());
-  CHECK_FALSE(Choose(Demand(++mRuns, 15000), later).mChoice.has_value()); // Too long for a pause.
+  // Too long to be read between two events.
+  CHECK_FALSE(Choose(Demand(++mRuns, 15000), later).mChoice.has_value());
 }
 
 TEST(placement, ADecodeEngineReadsNoPromptsWhereItsRunsPauseTooLong)
@@ -285,7 +286,7 @@
   List({ Engine("p", engine_role::ePrefill),
          Engine("q", engine_role::ePrefill, "b"),
          Engine("d", engine_role::eDecode) });
-  generation_demand demand = Demand(1, 9000); // Too long for a read at the decode engine.
+  generation_demand demand = Demand(1, 9000); // Too long to be read at the decode engine.
   CHECK(Choose(demand).mChoice->mPrefill == RunnerIdOf("p"));
   demand.mFailed = { RunnerIdOf("p") };
   CHECK(Choose(demand).mChoice->mPrefill == RunnerIdOf("q"));
@@ -304,7 +305,7 @@
   CHECK(Choose(Demand(1)).mChoice->mPrefill == RunnerIdOf("q"));
 }
 
-TEST(placement, AnEngineThatSaidItIsFullRests)
+TEST(placement, AnEngineThatRefusedAReservationBacksOff)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   mPlacement.NoteFull(RunnerIdOf("d"), kNow);
@@ -312,7 +313,7 @@
   CHECK(Choose(Demand(1), kNow + 61ms).mChoice.has_value());
 }
 
-TEST(placement, AnEngineThatBeganAnewHasNoneOfTheRunsPromisedBefore)
+TEST(placement, ARestartedEngineHoldsNoRunsPlacedBefore)
 {
   runner_entry former = Engine("d", engine_role::eDecode);
   former.mBorn = 100;
@@ -328,11 +329,11 @@
   const placement_answer answer = Choose(Demand(run + 1));
   CHECK_TRUE(answer.mChoice.has_value());
   CHECK(answer.mChoice->mDecode == RunnerIdOf("d", 200));
-  mPlacement.NoteFull(RunnerIdOf("d", 100), kNow); // What another daemon tells late.
+  mPlacement.NoteFull(RunnerIdOf("d", 100), kNow); // A late report of another daemon.
   CHECK_TRUE(Choose(Demand(run + 2)).mChoice.has_value());
 }
 
-TEST(placement, AnEngineThatGoesOnSayingItIsFullRestsLonger)
+TEST(placement, AnEngineThatKeepsRefusingBacksOffLonger)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   const service_runner_id engine = RunnerIdOf("d");
@@ -341,10 +342,10 @@
     if (Choose(Demand(1), now).mChoice) {
       ++asked;
       mPlacement.NoteFull(engine, now);
-      mPlacement.NoteFull(engine, now + 1ms); // Asked before the first refusal was known.
+      mPlacement.NoteFull(engine, now + 1ms); // Sent before the first refusal was known.
     }
   }
-  printf("asked in vain in 10 s: %d\n", asked); // 14; with the first rest alone 167.
+  printf("asked in vain in 10 s: %d\n", asked); // 14; 167 with a constant back-off.
   CHECK(asked >= 10);
   CHECK(asked <= 20);
   mPlacement.NoteRoom(engine);
@@ -352,7 +353,7 @@
   CHECK(Choose(Demand(1), kNow + 20s + 61ms).mChoice.has_value());
 }
 
-TEST(placement, TheClaimOfACallerThatHasComeBackGrowsWhileItWaits)
+TEST(placement, AReturnedCallerNeedsLessMemoryMarginTheLongerItWaits)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   Fill();
@@ -363,7 +364,8 @@
   CHECK(mPlacement.Choose(Waited(demand, 1.0), Traits(), mRunners, kNow).mChoice.has_value());
 }
 
-// Only some of very many engines are looked at closely: these must be the ones with room.
+// Guards against missing the engines with room: only some of very many engines are compared in
+// detail.
 TEST(placement, OfVeryManyEnginesTheOneWithRoomIsFound)
 {
   constexpr int kEngines = 400;
@@ -375,7 +377,7 @@
   List(entries);
   const auto decode = [](int aIndex) { return RunnerIdOf(Join("d", aIndex)); };
   for (int index = 0; index < kEngines; ++index) {
-    if (index < kFree) { // Empty, but they have just said that they take nothing.
+    if (index < kFree) { // Empty, but they have just refused a reservation.
       mPlacement.NoteFull(decode(index), kNow);
     } else if (index > kFree) {
       run_record run;
@@ -392,7 +394,7 @@
   CHECK_FALSE(Choose(Demand(++mRuns)).mChoice.has_value());
 }
 
-TEST(placement, RunsNobodyEndsAreForgotten)
+TEST(placement, RunsWithoutAReportedEndAreDropped)
 {
   List({ Engine("p", engine_role::ePrefill), Engine("d", engine_role::eDecode) });
   run_record run;
@@ -410,7 +412,7 @@
 
 TEST_GROUP(sizes)
 {
-  size_balance mSizes; ///< The balance under test.
+  size_balance mSizes; ///< Balance under test.
 
   void Note(int aTimes, double aSize, bool aServed)
   {
@@ -423,8 +425,8 @@
 TEST(sizes, LargeRequestsLeaveRoomWhileTheyAreServedLikeOthers)
 {
   Note(100, 1.0, true);
-  CHECK(mSizes.PartLeft(1.0) < 0.05);
-  CHECK(mSizes.PartLeft(4.0) > 0.95);
+  CHECK(mSizes.ReserveShareKept(1.0) < 0.05);
+  CHECK(mSizes.ReserveShareKept(4.0) > 0.95);
 }
 
 TEST(sizes, SmallRequestsLeaveRoomOnceLargeOnesFallBehind)
@@ -434,8 +436,8 @@
     Note(1, 8.0, false);
   }
   CHECK(mSizes.Ratio() < 0.5);
-  CHECK(mSizes.PartLeft(0.5) > 0.9);
-  CHECK(mSizes.PartLeft(8.0) < 0.1);
+  CHECK(mSizes.ReserveShareKept(0.5) > 0.9);
+  CHECK(mSizes.ReserveShareKept(8.0) < 0.1);
 }
 
 TEST(sizes, RefusalsOfAllSizesAlikeChangeNothing)
@@ -449,13 +451,13 @@
 
 TEST_GROUP(forecast){};
 
-TEST(forecast, ARunCountsLessTheLongerItHasOutlivedItsGuess)
+TEST(forecast, ARunCountsLessTheMoreItExceedsItsEstimate)
 {
-  const guess_model model;
-  const growing_run none;
-  growing_run young{ 5000, 100, 2000, 0, 0 };
+  const answer_length_model model;
+  const forecast_run none;
+  forecast_run young{ 5000, 100, 2000, 0, 0 };
   const double atStart = memory_forecast({ young }, 800, model).Peak(none, 0.0);
-  growing_run old{ 5000, 8000, 2000, 8064, 0 };
+  forecast_run old{ 5000, 8000, 2000, 8064, 0 };
   const double atEnd = memory_forecast({ old }, 800, model).Peak(none, 0.0);
   CHECK(atStart >= 5100);
   CHECK(atEnd >= 13000);
@@ -464,16 +466,16 @@
 
 TEST(forecast, CautionAddsRoom)
 {
-  const guess_model model;
-  const std::vector<growing_run> runs(8, growing_run{ 5000, 1000, 4000, 11000, 0 });
-  const growing_run newcomer{ 5000, 0, 4000, 11000, 0 };
+  const answer_length_model model;
+  const std::vector<forecast_run> runs(8, forecast_run{ 5000, 1000, 4000, 11000, 0 });
+  const forecast_run newcomer{ 5000, 0, 4000, 11000, 0 };
   const memory_forecast forecast(runs, 800, model);
   CHECK(forecast.Peak(newcomer, 2.0) > forecast.Peak(newcomer, 0.0) + 5000);
 }
 
-TEST(forecast, GuessesAreLearned)
+TEST(forecast, TheBiasOfEstimatesIsLearned)
 {
-  guess_model model;
+  answer_length_model model;
   for (int i = 0; i < 400; ++i) {
     model.Learn(1000, 2000);
   }
@@ -484,10 +486,10 @@
 TEST_GROUP(roles)
 {
   runner_table mRunners;         ///< The engines.
-  role_planner mPlanner{ 0.22 }; ///< The planner under test.
+  role_planner mPlanner{ 0.22 }; ///< Planner under test.
   std::uint64_t mListings = 0;   ///< Listings applied.
 
-  /** @param aChanged a prefill engine that generates by now. */
+  /** @param aChanged an engine that was a prefill engine and is a decode engine now. */
   void List(int aPrefills, int aDecodes, instant aNow = kNow, service_runner_id aChanged = {})
   {
     std::vector<runner_entry> entries;
@@ -504,12 +506,13 @@
     }
     mRunners.Apply({ entries, { 0, ++mListings } }, aNow, false);
   }
-  /** Plays a load: 10.4 generations a second, on engines that read so many tokens a microsecond.
-   * @return changes that were wanted; each is ordered as it's wanted. */
+  /** Simulates a load of 10.4 generations per second. @param aReadSpeed read speed in tokens per
+   * microsecond.
+   * @return planned changes; each is recorded as ordered at once. */
   std::vector<role_change> PlayLoad(double aReadSpeed)
   {
-    constexpr double kReadRate = 33300.0; // Tokens a second.
-    constexpr double kHeldRate = 25.8e6;  // Tokens held, over the tokens made, a second.
+    constexpr double kReadRate = 33300.0; // Tokens per second.
+    constexpr double kHeldRate = 25.8e6;  // Held tokens per second, as in engine_load.
     constexpr double kMicrosPerToken = 5500.0;
     const auto memory = [](const std::string&) { return std::uint64_t{ 41191 }; };
     std::vector<role_change> all;
@@ -522,13 +525,13 @@
         mPlanner.NoteOrdered(change, kNow + passed);
         all.push_back(change);
       }
-      if (passed == 14s) { // Done, if there was any.
+      if (passed == 14s) { // The change is carried out, if there was one.
         ListDone(all, kNow + passed);
       }
     }
     return all;
   }
-  /** Lists two engines that read and seven that generate, after changes. */
+  /** Lists two prefill and seven decode engines after changes of decode to prefill. */
   void ListDone(const std::vector<role_change>& aChanges, instant aNow)
   {
     const auto reads = static_cast<int>(aChanges.size());
@@ -541,7 +544,7 @@
   }
 };
 
-TEST(roles, TooManyPrefillEnginesGenerateAtTheStart)
+TEST(roles, ExcessPrefillEnginesBecomeDecodeEnginesAtTheStart)
 {
   List(3, 6);
   const auto changes = Plan();
@@ -549,14 +552,14 @@
   CHECK(changes[0].mRole == engine_role::eDecode);
 }
 
-TEST(roles, AnOrderUnderWayIsNotGivenTwice)
+TEST(roles, APendingOrderIsNotRepeated)
 {
   List(3, 6);
   mPlanner.NoteOrdered(Plan().at(0), kNow);
   CHECK(Plan(kNow + 2s).empty());
 }
 
-TEST(roles, AMissingPrefillEngineIsReplacedOnceItIsMissingForAWhile)
+TEST(roles, AMissingPrefillEngineIsReplacedAfterADelay)
 {
   List(2, 7);
   CHECK(Plan().empty());
@@ -567,21 +570,21 @@
   CHECK(changes[0].mRole == engine_role::ePrefill);
 }
 
-TEST(roles, ADoneOrderDoesNotHoldBackTheNext)
+TEST(roles, ACompletedOrderDoesNotDelayTheNext)
 {
   List(3, 6);
   const role_change ordered = Plan().at(0);
   mPlanner.NoteOrdered(ordered, kNow);
-  List(3, 6, kNow + 8s, ordered.mRunner); // Done.
+  List(3, 6, kNow + 8s, ordered.mRunner); // Carried out.
   CHECK(Plan(kNow + 8s).empty());
-  List(2, 6, kNow + 10s, ordered.mRunner); // An engine that reads is lost.
+  List(2, 6, kNow + 10s, ordered.mRunner); // A prefill engine is lost.
   Plan(kNow + 10s);
   CHECK_EQUAL(1U, Plan(kNow + 14s).size());
 }
 
-TEST(roles, ALargeServiceIsChangedStepByStep)
+TEST(roles, ALargeServiceIsChangedInLimitedSteps)
 {
-  List(1000, 2000); // A third reads; the plan is for less than a quarter.
+  List(1000, 2000); // A third are prefill engines; less than a quarter are wanted.
   std::size_t ordered = 0;
   for (int tick = 0; tick < 50; ++tick) {
     const auto changes = Plan(kNow + tick * 10ms);
@@ -595,8 +598,9 @@
   CHECK(Plan(kNow + 1s).empty());
 }
 
-// On a deployment whose engines read half as fast, two of nine can't read what comes.
-TEST(roles, WhereEnginesReadSlowlyMoreOfThemRead)
+// Guards against too few prefill engines where reads are slow: at half the read speed, two of nine
+// engines can't read all prompts.
+TEST(roles, SlowReadsCauseMorePrefillEngines)
 {
   List(2, 7);
   const std::vector<role_change> changes = PlayLoad(0.016);
@@ -604,8 +608,8 @@
   CHECK(changes[0].mRole == engine_role::ePrefill);
 }
 
-// Two are right for the same load on quicker engines: none is taken out of work.
-TEST(roles, WhereTheSplitSuitsTheWorkItStays)
+// Guards against needless changes: with faster engines two are enough for the same load.
+TEST(roles, ASplitThatSuitsTheWorkIsKept)
 {
   List(2, 7);
   CHECK(PlayLoad(0.0333).empty());
