--- a/scripts/check_soak_mutants.sh
+++ b/scripts/check_soak_mutants.sh
@@ -37,19 +37,19 @@
 }
 
 check_off 'at most once' src/forward/plain_call.h \
-  'if (MayRepeat() && TakeRepeat()) {
+  'if (MayRetry() && TakeRetryBudget()) {
       co_return true;' 'if (mSends < 2) {
       co_return true;' runner
-check_off 'not run is true' src/forward/plain_call.h 'if (mUnknown) {' 'if (false) {' runner
+check_off 'not run is true' src/forward/plain_call.h 'if (mMayHaveRun) {' 'if (false) {' runner
 check_off 'own answer' src/forward/upstream_send.h 'answer.mFacts.mRequestId != aRequestId' 'false' runner
 check_off 'whole answer' src/forward/generation_call.h \
-  'mExchange->Tear();
+  'mExchange->ResetConnection();
       co_return false;' 'co_await mExchange->EndBody();
       co_return false;' runner
 check_off 'leaving runner' src/runners/runner_choice.cpp 'return !aRunner.mDraining && ' 'return '
-check_off 'planned work cuts nothing' src/forward/gateway.h 'if (mListener->Shared().mBusy == 0) {' 'if (true) {'
+check_off 'planned work cuts nothing' src/forward/gateway.h 'if (mListener->State().mActiveRequests == 0) {' 'if (true) {'
 check_off 'nothing is held for nobody' src/forward/upstream_send.h \
-  'aExchange.OnGone([connection] { connection->Abort(); });' '' runner
+  'aExchange.OnDisconnect([connection] { connection->Abort(); });' '' runner
 check_off 'crashes end' src/quarantine/crash_ledger.h 'kCrashesAllowed = 3;' 'kCrashesAllowed = 3000;' poison
 check_off 'callers beside a crash' src/quarantine/crash_ledger.cpp 'return EvidenceOf(aOther) > own;' 'return false;' poison
 check_off 'all is served again' src/links/config_follower.h \
--- a/src/forward/caller_session.cpp
+++ b/src/forward/caller_session.cpp
@@ -17,18 +17,18 @@
 namespace {
 
 /** A caller that takes no bytes for this long is gone. */
-constexpr duration kWriteTime = std::chrono::seconds(10);
+constexpr duration kWriteTimeout = std::chrono::seconds(10);
 /** After a refusal of an unread body the caller may take this long to read the answer. */
-constexpr duration kLingerTime = std::chrono::milliseconds(500);
+constexpr duration kLingerTimeout = std::chrono::milliseconds(500);
 /** Bytes of a next request that are taken in while one is answered. */
-constexpr std::size_t kMostAhead = 16384;
+constexpr std::size_t kMaxReadAheadBytes = 16384;
 /** Bytes read at once. */
 constexpr std::size_t kReadBytes = 4096;
 /** Rest after a failed accept: mostly too many descriptors. */
-constexpr duration kAcceptRest = std::chrono::milliseconds(10);
+constexpr duration kAcceptRetryDelay = std::chrono::milliseconds(10);
 
 /** The watch over a caller's socket while its request is answered. */
-struct leave_watch
+struct disconnect_watch
 {
   std::weak_ptr<caller_exchange> mExchange; ///< The exchange under way.
   bool mDone = false;                       ///< The answer is over.
@@ -36,7 +36,7 @@
 
 /** Takes in what has arrived without waiting. @return false if the caller has closed. */
 bool
-TakeArrived(tcp::socket& aSocket, beast::flat_buffer& aBuffer)
+ReadAvailable(tcp::socket& aSocket, beast::flat_buffer& aBuffer)
 {
   std::array<char, kReadBytes> bytes;
   const ssize_t got = ::recv(aSocket.native_handle(), bytes.data(), bytes.size(), MSG_DONTWAIT);
@@ -51,20 +51,20 @@
 }
 
 asio::awaitable<void>
-WatchForLeave(beast::tcp_stream& aStream,
-              beast::flat_buffer& aBuffer,
-              std::shared_ptr<leave_watch> aWatch)
+WatchForDisconnect(beast::tcp_stream& aStream,
+                   beast::flat_buffer& aBuffer,
+                   std::shared_ptr<disconnect_watch> aWatch)
 {
-  while (aBuffer.size() < kMostAhead) {
+  while (aBuffer.size() < kMaxReadAheadBytes) {
     boost::system::error_code error;
     co_await aStream.socket().async_wait(tcp::socket::wait_read,
                                          asio::redirect_error(asio::use_awaitable, error));
     if (aWatch->mDone) {
       co_return;
     }
-    if (error || !TakeArrived(aStream.socket(), aBuffer)) {
+    if (error || !ReadAvailable(aStream.socket(), aBuffer)) {
       if (const auto exchange = aWatch->mExchange.lock()) {
-        exchange->NoteGone();
+        exchange->MarkDisconnected();
       }
       co_return;
     }
@@ -77,7 +77,7 @@
 {
   boost::system::error_code error;
   aStream.socket().shutdown(tcp::socket::shutdown_send, error);
-  aStream.expires_after(kLingerTime);
+  aStream.expires_after(kLingerTimeout);
   std::array<char, kReadBytes> bytes;
   while (!error) {
     co_await aStream.async_read_some(asio::buffer(bytes),
@@ -142,7 +142,7 @@
 }
 
 asio::awaitable<void>
-caller_exchange::Answer(unsigned aStatus, const http::fields& aHead, std::string_view aBody)
+caller_exchange::Respond(unsigned aStatus, const http::fields& aHead, std::string_view aBody)
 {
   std::string head = HeadText(aStatus, aHead);
   if (aStatus != 204 && aStatus != 304) {
@@ -151,7 +151,7 @@
   head += "\r\n";
   mStarted = true;
   const bool silent = mRequest.method() == http::verb::head;
-  mAnswered = co_await WriteAll(head, silent ? std::string_view() : aBody);
+  mResponseComplete = co_await WriteAll(head, silent ? std::string_view() : aBody);
 }
 
 asio::awaitable<bool>
@@ -179,7 +179,7 @@
 caller_exchange::Write(std::string_view aBytes)
 {
   if (aBytes.empty()) {
-    co_return !mGone;
+    co_return !mDisconnected;
   }
   if (!mChunked) {
     co_return co_await WriteAll(std::string_view(), aBytes);
@@ -193,14 +193,14 @@
 {
   if (mChunked) {
     static constexpr std::string_view kLastChunk = "0\r\n\r\n";
-    mAnswered = co_await WriteAll(kLastChunk, std::string_view());
+    mResponseComplete = co_await WriteAll(kLastChunk, std::string_view());
   } else {
-    mAnswered = !mGone;
+    mResponseComplete = !mDisconnected;
   }
 }
 
 void
-caller_exchange::Tear()
+caller_exchange::ResetConnection()
 {
   mKeepAlive = false;
   boost::system::error_code ignored; // The socket may be closed already.
@@ -209,25 +209,25 @@
 }
 
 void
-caller_exchange::OnGone(std::function<void()> aCallback)
+caller_exchange::OnDisconnect(std::function<void()> aCallback)
 {
-  if (mGone && aCallback) {
+  if (mDisconnected && aCallback) {
     aCallback();
     return;
   }
-  mOnGone = std::move(aCallback);
+  mOnDisconnect = std::move(aCallback);
 }
 
 void
-caller_exchange::NoteGone()
+caller_exchange::MarkDisconnected()
 {
-  if (mGone) {
+  if (mDisconnected) {
     return;
   }
-  mGone = true;
-  if (mOnGone) {
-    const std::function<void()> callback = std::move(mOnGone);
-    mOnGone = nullptr;
+  mDisconnected = true;
+  if (mOnDisconnect) {
+    const std::function<void()> callback = std::move(mOnDisconnect);
+    mOnDisconnect = nullptr;
     callback();
   }
 }
@@ -235,17 +235,17 @@
 asio::awaitable<bool>
 caller_exchange::WriteAll(std::string_view aHead, std::string_view aBytes)
 {
-  if (mGone) {
+  if (mDisconnected) {
     co_return false;
   }
   const std::array<asio::const_buffer, 2> buffers{ asio::buffer(aHead.data(), aHead.size()),
                                                    asio::buffer(aBytes.data(), aBytes.size()) };
   boost::system::error_code error;
-  mStream.expires_after(kWriteTime);
+  mStream.expires_after(kWriteTimeout);
   co_await asio::async_write(mStream, buffers, asio::redirect_error(asio::use_awaitable, error));
   mStream.expires_never();
   if (error) {
-    NoteGone();
+    MarkDisconnected();
   }
   co_return !error;
 }
@@ -262,7 +262,7 @@
 void
 caller_listener::StopAccepting()
 {
-  mShared.mTakesNoMore = true;
+  mState.mRefuseNewRequests = true;
   boost::system::error_code ignored; // Closed twice is as good as once.
   mAcceptor.close(ignored);
 }
@@ -270,7 +270,7 @@
 void
 caller_listener::CloseIdle()
 {
-  for (tcp::socket* const socket : mShared.mIdle) {
+  for (tcp::socket* const socket : mState.mIdleSockets) {
     boost::system::error_code ignored; // The session sees the end and closes.
     socket->shutdown(tcp::socket::shutdown_both, ignored);
   }
@@ -289,7 +289,7 @@
     }
     if (error) {
       LogEvent(log_level::eWarning, "accept_failed", { { "error", error.message() } });
-      co_await Sleep(kAcceptRest);
+      co_await Sleep(kAcceptRetryDelay);
       continue;
     }
     socket.set_option(tcp::no_delay(true), error);
@@ -300,19 +300,19 @@
 asio::awaitable<void>
 caller_listener::Serve(tcp::socket aSocket, asio::ip::address aCaller)
 {
-  ++mShared.mOpen;
+  ++mState.mOpenConnections;
   beast::tcp_stream stream(std::move(aSocket));
   beast::flat_buffer buffer;
   bool more = true;
   while (more) {
     more = co_await AwaitRequest(stream, buffer);
     if (more) {
-      ++mShared.mBusy;
+      ++mState.mActiveRequests;
       more = co_await ServeOne(stream, aCaller, buffer);
-      --mShared.mBusy;
+      --mState.mActiveRequests;
     }
   }
-  --mShared.mOpen;
+  --mState.mOpenConnections;
 }
 
 asio::awaitable<bool>
@@ -322,12 +322,12 @@
     co_return true;
   }
   aBuffer.shrink_to_fit();
-  mShared.mIdle.insert(&aStream.socket());
+  mState.mIdleSockets.insert(&aStream.socket());
   boost::system::error_code error;
-  aStream.expires_after(mShared.mLimits.mIdleTime);
+  aStream.expires_after(mState.mLimits.mIdleTime);
   const std::size_t got = co_await aStream.async_read_some(
     aBuffer.prepare(kReadBytes), asio::redirect_error(asio::use_awaitable, error));
-  mShared.mIdle.erase(&aStream.socket());
+  mState.mIdleSockets.erase(&aStream.socket());
   aBuffer.commit(got);
   co_return !error;
 }
@@ -338,10 +338,10 @@
                           beast::flat_buffer& aBuffer)
 {
   http::request_parser<http::string_body> parser;
-  parser.header_limit(mShared.mLimits.mHeaderBytes);
-  parser.body_limit(mShared.mLimits.mBodyBytes);
+  parser.header_limit(mState.mLimits.mHeaderBytes);
+  parser.body_limit(mState.mLimits.mBodyBytes);
   boost::system::error_code error;
-  aStream.expires_after(mShared.mLimits.mHeaderTime);
+  aStream.expires_after(mState.mLimits.mHeaderTime);
   co_await http::async_read_header(
     aStream, aBuffer, parser, asio::redirect_error(asio::use_awaitable, error));
   unsigned refusal = error ? StatusOf(error) : 0;
@@ -350,19 +350,19 @@
   }
   std::uint64_t held = 0;
   if (!error && refusal == 0 && !parser.is_done()) {
-    held = parser.content_length() ? *parser.content_length() : kMostAhead;
-    if (mShared.mBodyBytes + held > mShared.mMostBodyBytes) {
+    held = parser.content_length() ? *parser.content_length() : kMaxReadAheadBytes;
+    if (mState.mBodyBytes + held > mState.mMaxBodyBytes) {
       held = 0;
       refusal = 503;
     } else {
-      mShared.mBodyBytes += held;
+      mState.mBodyBytes += held;
       if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
         static constexpr std::string_view kGoOn = "HTTP/1.1 100 Continue\r\n\r\n";
         co_await asio::async_write(aStream,
                                    asio::buffer(kGoOn.data(), kGoOn.size()),
                                    asio::redirect_error(asio::use_awaitable, error));
       }
-      aStream.expires_after(mShared.mLimits.mIdleTime);
+      aStream.expires_after(mState.mLimits.mIdleTime);
       co_await http::async_read(
         aStream, aBuffer, parser, asio::redirect_error(asio::use_awaitable, error));
       refusal = error ? StatusOf(error) : 0;
@@ -370,34 +370,34 @@
   }
   aStream.expires_never();
   const auto exchange =
-    std::make_shared<caller_exchange>(aStream, aCaller, parser.release(), mShared.mClosing);
+    std::make_shared<caller_exchange>(aStream, aCaller, parser.release(), mState.mClosing);
   if (refusal != 0) {
     LogEvent(
       log_level::eInfo, "request_unread", { { "status", refusal }, { "error", error.message() } });
     exchange->EndKeepAlive();
     const http::fields empty;
     const std::string body = ErrorBody("unreadable", "the request can't be read");
-    co_await exchange->Answer(refusal, empty, body);
+    co_await exchange->Respond(refusal, empty, body);
     co_await Linger(aStream);
   }
   if (error || refusal != 0) {
-    mShared.mBodyBytes -= held;
+    mState.mBodyBytes -= held;
     co_return false;
   }
-  const auto watch = std::make_shared<leave_watch>();
+  const auto watch = std::make_shared<disconnect_watch>();
   watch->mExchange = exchange;
-  SpawnGuarded(mIo, WatchForLeave(aStream, aBuffer, watch));
+  SpawnGuarded(mIo, WatchForDisconnect(aStream, aBuffer, watch));
   try {
     co_await mHandler(exchange);
   } catch (const std::exception& failure) {
     LogEvent(log_level::eError, "request_failed", { { "what", failure.what() } });
   }
   watch->mDone = true;
-  mShared.mBodyBytes -= held;
+  mState.mBodyBytes -= held;
   boost::system::error_code ignored; // Ends the watch; the socket may be closed already.
   aStream.socket().cancel(ignored);
-  if (!exchange->Answered()) {
-    exchange->Tear();
+  if (!exchange->ResponseComplete()) {
+    exchange->ResetConnection();
     co_return false;
   }
   co_return exchange->KeepAlive();
--- a/src/forward/caller_session.h
+++ b/src/forward/caller_session.h
@@ -16,22 +16,22 @@
 namespace dunehook {
 
 /** Sessions of a listener have these in common. */
-struct session_shared
+struct listener_state
 {
-  caller_limits mLimits;              ///< In force for the next request.
-  bool mClosing = false;              ///< Connections end after their next answer.
-  bool mTakesNoMore = false;          ///< Requests that aren't whole yet are refused.
-  std::optional<instant> mTakesUntil; ///< From then on it's the same, whether noted or not.
-  std::uint64_t mBodyBytes = 0;       ///< Bytes of request bodies held now.
-  std::uint64_t mMostBodyBytes = 0;   ///< Most bytes of request bodies held at once.
-  std::size_t mOpen = 0;              ///< Connections.
-  std::size_t mBusy = 0;              ///< Requests being read or answered.
-  std::set<tcp::socket*> mIdle;       ///< Sockets of connections that rest between requests.
+  caller_limits mLimits;               ///< In force for the next request.
+  bool mClosing = false;               ///< Connections end after their next answer.
+  bool mRefuseNewRequests = false;     ///< Requests that aren't whole yet are refused.
+  std::optional<instant> mAcceptUntil; ///< From then on it's the same, whether noted or not.
+  std::uint64_t mBodyBytes = 0;        ///< Bytes of request bodies held now.
+  std::uint64_t mMaxBodyBytes = 0;     ///< Most bytes of request bodies held at once.
+  std::size_t mOpenConnections = 0;    ///< Connections.
+  std::size_t mActiveRequests = 0;     ///< Requests being read or answered.
+  std::set<tcp::socket*> mIdleSockets; ///< Sockets of connections that rest between requests.
 
   /** @return whether no further request is taken. A process that stood still notes it late. */
-  bool TakesNoMore(instant aNow) const
+  bool RefusesNewRequests(instant aNow) const
   {
-    return mTakesNoMore || (mTakesUntil && aNow >= *mTakesUntil);
+    return mRefuseNewRequests || (mAcceptUntil && aNow >= *mAcceptUntil);
   }
 };
 
@@ -62,7 +62,9 @@
   std::string CallerAddress() const { return mCaller.to_string(); }
 
   /** Sends a whole answer. */
-  asio::awaitable<void> Answer(unsigned aStatus, const http::fields& aHead, std::string_view aBody);
+  asio::awaitable<void> Respond(unsigned aStatus,
+                                const http::fields& aHead,
+                                std::string_view aBody);
   /**
    * Sends the head of an answer whose body follows in pieces.
    * @param aLength length of the body, if known; else it goes in chunks.
@@ -76,17 +78,17 @@
   /** Ends the body as whole. */
   asio::awaitable<void> EndBody();
   /** Ends the connection, so that the answer can't look whole. */
-  void Tear();
+  void ResetConnection();
 
   /** @param aCallback called once if the caller leaves before the answer ends. */
-  void OnGone(std::function<void()> aCallback);
-  bool Gone() const { return mGone; }
-  bool Answered() const { return mAnswered; }
+  void OnDisconnect(std::function<void()> aCallback);
+  bool Disconnected() const { return mDisconnected; }
+  bool ResponseComplete() const { return mResponseComplete; }
   bool KeepAlive() const { return mKeepAlive; }
   /** The connection ends after this answer. */
   void EndKeepAlive() { mKeepAlive = false; }
   /** For the session: notes that the caller has left. */
-  void NoteGone();
+  void MarkDisconnected();
 
 private:
   asio::awaitable<bool> WriteAll(std::string_view aHead, std::string_view aBytes);
@@ -96,12 +98,12 @@
   asio::ip::address mCaller;                ///< The caller's host; known also once it has closed.
   request_type mRequest;                    ///< The request, without its body.
   std::shared_ptr<const std::string> mBody; ///< The request's body.
-  std::function<void()> mOnGone;            ///< Called at most once.
+  std::function<void()> mOnDisconnect;      ///< Called at most once.
   bool mKeepAlive;                          ///< The connection goes on after the answer.
   bool mChunked = false;                    ///< The answer's body goes in chunks.
   bool mStarted = false;                    ///< Bytes of the answer were sent.
-  bool mAnswered = false;                   ///< The answer is whole.
-  bool mGone = false;                       ///< The caller left or can't be written to.
+  bool mResponseComplete = false;           ///< The answer is whole.
+  bool mDisconnected = false;               ///< The caller left or can't be written to.
 };
 
 using caller_exchange_ptr = std::shared_ptr<caller_exchange>;
@@ -124,7 +126,7 @@
   }
 
   endpoint Address() const { return AddressOf(mAcceptor); }
-  session_shared& Shared() { return mShared; }
+  listener_state& State() { return mState; }
   /** Takes no further connections, and no further requests on open ones. */
   void StopAccepting();
   /** Ends connections that rest between requests. */
@@ -143,7 +145,7 @@
   asio::io_context& mIo;   ///< Runs every session.
   tcp::acceptor mAcceptor; ///< The listening socket.
   caller_handler mHandler; ///< Called for each request.
-  session_shared mShared;  ///< Outlives the sessions.
+  listener_state mState;   ///< Outlives the sessions.
 };
 
 } // namespace dunehook
--- a/src/forward/crash_watch.h
+++ b/src/forward/crash_watch.h
@@ -31,12 +31,12 @@
   duration QuarantinedFor() { return mState.mCrashes.QuarantinedFor(Fingerprint(), mState.Now()); }
   /** Notes that the connection to a runner broke on which an answer was awaited.
    * @param aProgressed the caller had something of this run's answer. */
-  void NoteBroken(service_runner_id aRunner, bool aProgressed)
+  void ReportConnectionLost(service_runner_id aRunner, bool aProgressed)
   {
     mState.mReportCrash({ Fingerprint(), aRunner, aProgressed });
   }
   /** Notes that a whole answer came. */
-  void NoteServed()
+  void ReportServed()
   {
     if (!mState.mCrashes.Empty()) {
       mState.mReportServed(Fingerprint());
--- a/src/forward/engine_calls.h
+++ b/src/forward/engine_calls.h
@@ -11,7 +11,7 @@
 namespace dunehook {
 
 /** Longest wait for a reservation or a release: the engine answers at once. */
-inline constexpr duration kSideCallTime = std::chrono::milliseconds(250);
+inline constexpr duration kSideCallTimeout = std::chrono::milliseconds(250);
 
 /** The calls. Each may be repeated: what a lost answer reserved lapses by itself. */
 template<wire_format Wire>
@@ -30,11 +30,11 @@
   asio::awaitable<result<reservation>> Reserve(service_runner_id aEngine,
                                                endpoint aAt,
                                                std::uint32_t aTokens,
-                                               duration aLife)
+                                               duration aLifetime)
   {
-    const http_call call = Wire::ReserveCall(aTokens, aLife);
+    const http_call call = Wire::ReserveCall(aTokens, aLifetime);
     BOOST_OUTCOME_CO_TRY(const http_answer answer,
-                         co_await mState.mSideCalls.Call(aAt, call, kSideCallTime));
+                         co_await mState.mSideCalls.Call(aAt, call, kSideCallTimeout));
     mState.NoteNotice(aEngine, Wire::ReadNotice(answer));
     if (answer.mStatus != 200) {
       co_return make_error_code(errc::eRunnerRefused);
@@ -45,19 +45,22 @@
   /** Gives a reservation back; nobody waits for the answer. */
   void Release(const endpoint& aAt, const reservation& aReservation)
   {
-    SpawnGuarded(mState.mIo, SendLater(mState, aAt, Wire::ReleaseCall(aReservation)));
+    SpawnGuarded(mState.mIo, SendInBackground(mState, aAt, Wire::ReleaseCall(aReservation)));
   }
 
   /** Frees a prefill result; nobody waits for the answer. */
   void Free(const endpoint& aAt, const prefill_result& aResult)
   {
-    SpawnGuarded(mState.mIo, SendLater(mState, aAt, Wire::FreePrefillCall(aResult)));
+    SpawnGuarded(mState.mIo, SendInBackground(mState, aAt, Wire::FreePrefillCall(aResult)));
   }
 
 private:
-  static asio::awaitable<void> SendLater(forward_state& aState, endpoint aAt, http_call aCall)
+  static asio::awaitable<void> SendInBackground(forward_state& aState,
+                                                endpoint aAt,
+                                                http_call aCall)
   {
-    const result<http_answer> answer = co_await aState.mSideCalls.Call(aAt, aCall, kSideCallTime);
+    const result<http_answer> answer =
+      co_await aState.mSideCalls.Call(aAt, aCall, kSideCallTimeout);
     if (!answer) { // The engine's own limit ends what it was to free.
       LogEvent(log_level::eInfo, "release_unanswered", { { "at", ToText(aAt) } });
     }
--- a/src/forward/event_splitter.cpp
+++ b/src/forward/event_splitter.cpp
@@ -27,9 +27,9 @@
 std::string
 event_splitter::Feed(std::string_view aBytes)
 {
-  mRest.append(aBytes);
+  mPartialEvent.append(aBytes);
   std::size_t whole = 0;
-  const std::string_view all = mRest;
+  const std::string_view all = mPartialEvent;
   while (whole < all.size()) {
     const std::size_t end = EndOfEvent(all.substr(whole));
     if (end == std::string_view::npos) {
@@ -38,8 +38,8 @@
     NoteEvent(all.substr(whole, end));
     whole += end;
   }
-  std::string events = mRest.substr(0, whole);
-  mRest.erase(0, whole);
+  std::string events = mPartialEvent.substr(0, whole);
+  mPartialEvent.erase(0, whole);
   return events;
 }
 
--- a/src/forward/event_splitter.h
+++ b/src/forward/event_splitter.h
@@ -20,9 +20,9 @@
   std::string Feed(std::string_view aBytes);
 
   /** @return the bytes after the last whole event. */
-  const std::string& Rest() const { return mRest; }
+  const std::string& PartialEvent() const { return mPartialEvent; }
   /** Drops the bytes after the last whole event: another runner makes that event anew. */
-  void DropRest() { mRest.clear(); }
+  void DropPartialEvent() { mPartialEvent.clear(); }
   /** @return the id of the last whole event, if it has a numeric one. */
   std::optional<std::uint64_t> LastId() const { return mLastId; }
   /** @return whole events so far. */
@@ -31,7 +31,7 @@
 private:
   void NoteEvent(std::string_view aEvent);
 
-  std::string mRest;                    ///< Bytes of an event that isn't whole.
+  std::string mPartialEvent;            ///< Bytes of an event that isn't whole.
   std::optional<std::uint64_t> mLastId; ///< Of the last whole event that had an id.
   std::uint32_t mCount = 0;             ///< Whole events.
 };
--- a/src/forward/gateway.h
+++ b/src/forward/gateway.h
@@ -16,25 +16,25 @@
 namespace dunehook {
 
 /** Time between passes over the tables. */
-inline constexpr duration kTableTick = std::chrono::milliseconds(250);
+inline constexpr duration kTablePassInterval = std::chrono::milliseconds(250);
 /** A pass that comes later than this is told of: the process was frozen, or had no processor time,
  * and requests' targets are some hundred milliseconds. */
-inline constexpr duration kStandstill = std::chrono::milliseconds(500);
+inline constexpr duration kStallThreshold = std::chrono::milliseconds(500);
 /** Part of the memory that request bodies may take. */
-inline constexpr std::uint64_t kBodyPart = 4;
+inline constexpr std::uint64_t kBodyMemoryDivisor = 4;
 /** The balancer goes on sending callers for about this long after a daemon isn't ready. */
-inline constexpr duration kBalancerLag = std::chrono::milliseconds(2600);
+inline constexpr duration kBalancerRemovalDelay = std::chrono::milliseconds(2600);
 /** Kept off the limit of a planned stop, so that the process ends by itself. */
 inline constexpr duration kStopMargin = std::chrono::milliseconds(500);
 /** Time between looks in a planned stop. */
-inline constexpr duration kStopLook = std::chrono::milliseconds(50);
+inline constexpr duration kStopPollInterval = std::chrono::milliseconds(50);
 /** A planned stop may cut what still runs in the last one of so many parts of its limit. */
-inline constexpr int kStopParts = 6;
+inline constexpr int kStopCutDivisor = 6;
 /** A signal is handled late if the pass over the tables is later than this: a share of a core may
  * rest for a tenth of a second. */
-inline constexpr duration kLatePass = std::chrono::milliseconds(100);
+inline constexpr duration kLatePassThreshold = std::chrono::milliseconds(100);
 /** What a process finds to do when it runs again is done so soon, signals included. */
-inline constexpr duration kFirstTurn = std::chrono::milliseconds(50);
+inline constexpr duration kResumeHandlingTime = std::chrono::milliseconds(50);
 
 /** The daemon. */
 template<wire_format Wire, control_store Store>
@@ -58,7 +58,7 @@
     , mPlacers(mState, mLink)
     , mQuarantines(mState, mStore, mLink)
     , mFollower(mState, mStore, mLink, [this](const caller_limits& aLimits) {
-      mListener->Shared().mLimits = aLimits;
+      mListener->State().mLimits = aLimits;
     })
   {
     mState.mTell = [this](run_message aMessage) { mLink.Tell(std::move(aMessage)); };
@@ -77,13 +77,13 @@
   /** Starts to serve. */
   void Start()
   {
-    mPassEnded = mState.Now();
+    mLastPassAt = mState.Now();
     mFollower.Start();
     mLink.Start([this] { return Ready(); });
     mPlacers.Start([this] { return Ready(); });
     mQuarantines.Start();
-    SpawnGuarded(mState.mIo, TickTables());
-    SpawnGuarded(mState.mIo, TickRoles());
+    SpawnGuarded(mState.mIo, RunTablePasses());
+    SpawnGuarded(mState.mIo, RunRolePasses());
   }
 
   /** Begins a planned stop; the event loop ends when it's over. */
@@ -93,19 +93,19 @@
       return;
     }
     const instant now = mState.Now();
-    const instant since = SignalledSince(now);
-    LogEvent(
-      log_level::eInfo,
-      "stopping",
-      { { "open", mListener->Shared().mOpen }, { "late_ms", (now - since).count() / 1000 } });
+    const instant since = EarliestSignalTime(now);
+    LogEvent(log_level::eInfo,
+             "stopping",
+             { { "open", mListener->State().mOpenConnections },
+               { "late_ms", (now - since).count() / 1000 } });
     mState.mStopping = true;
     // The signal came between the two instants. Requests are taken as if it came first; nothing is
     // cut before the last part of the limit even if it came last.
     const duration limit = mState.mSettings.mStopLimit;
-    mState.mStopBy =
-      std::max(since + limit - kStopMargin, now + limit - limit / kStopParts + kStopLook);
-    mListener->Shared().mClosing = true;
-    mListener->Shared().mTakesUntil = since + kBalancerLag + 2 * kStopLook;
+    mState.mStopBy = std::max(since + limit - kStopMargin,
+                              now + limit - limit / kStopCutDivisor + kStopPollInterval);
+    mListener->State().mClosing = true;
+    mListener->State().mAcceptUntil = since + kBalancerRemovalDelay + 2 * kStopPollInterval;
     SpawnGuarded(mState.mIo, FinishStop(since));
   }
 
@@ -129,7 +129,7 @@
       caller_listener::Open(mState.mIo, settings.mCallers, [this](caller_exchange_ptr aExchange) {
         return Forward(std::move(aExchange));
       }));
-    mListener->Shared().mMostBodyBytes = settings.mMemoryBytes / kBodyPart;
+    mListener->State().mMaxBodyBytes = settings.mMemoryBytes / kBodyMemoryDivisor;
     BOOST_OUTCOME_TRY(
       mReadiness,
       http_listener::Open(mState.mIo, settings.mReadiness, {}, [this](exchange_ptr aExchange) {
@@ -172,7 +172,7 @@
   {
     gateway_gauges values;
     const instant now = mState.Now();
-    const session_shared& sessions = mListener->Shared();
+    const listener_state& sessions = mListener->State();
     values["ready"] = Ready() ? 1.0 : 0.0;
     values["config_version"] =
       mState.mRoutes ? static_cast<double>(mState.mRoutes->Config().mVersion) : 0.0;
@@ -185,8 +185,8 @@
     values["store_answers"] = mFollower.Contact().Answers() ? 1.0 : 0.0;
     values["daemons"] = static_cast<double>(mState.mDaemons);
     values["generations"] = static_cast<double>(mState.mPlacement.RunCount());
-    values["connections"] = static_cast<double>(sessions.mOpen);
-    values["requests_under_way"] = static_cast<double>(sessions.mBusy);
+    values["connections"] = static_cast<double>(sessions.mOpenConnections);
+    values["requests_under_way"] = static_cast<double>(sessions.mActiveRequests);
     values["body_bytes"] = static_cast<double>(sessions.mBodyBytes);
     values["log_lines_dropped"] = static_cast<double>(mLogTotals.mDropped);
     values["log_bytes"] = static_cast<double>(mLogTotals.mBytes);
@@ -212,15 +212,15 @@
     // Looked at once the request is whole. It may come late on a connection that an answer from
     // before the stop left open, behind another request, or with slow bytes: the end of the process
     // would cut it, and a caller that is told so can go elsewhere.
-    if (mListener->Shared().TakesNoMore(arrived)) {
+    if (mListener->State().RefusesNewRequests(arrived)) {
       mState.mMetrics.CountRequest("none", "refused", "stopping");
       mState.LogDecision(log_level::eInfo, "not_taken", facts.mId, {});
-      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStopComeBack, "stopping");
+      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStoppingRetryAfter, "stopping");
       co_return;
     }
-    const instant startedBy = arrived + kStartWait;
+    const instant startedBy = arrived + kStartupWait;
     while (!mFollower.Contact().Known() && mState.Now() < startedBy) {
-      co_await Sleep(kLookAtStart);
+      co_await Sleep(kStartupPollInterval);
     }
     if (!mFollower.Contact().Known()) {
       mState.mMetrics.CountRequest("none", "refused", "starting");
@@ -228,7 +228,7 @@
                          "not_started",
                          facts.mId,
                          { { "config_known", mState.mRoutes != nullptr } });
-      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStartComeBack, "starting");
+      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStartingRetryAfter, "starting");
       co_return;
     }
     const std::shared_ptr<const route_table> routes = mState.mRoutes;
@@ -245,7 +245,7 @@
     }
     const forward_service* const service = routes->PickService(*route, mState.Draw());
     if (service == nullptr) {
-      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStartComeBack, "no_service");
+      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStartingRetryAfter, "no_service");
       co_return;
     }
     if (service->mEngines && route->mRepeat == repeat_rule::eStream) {
@@ -255,7 +255,7 @@
       plain_call<Wire> call(mState, aExchange, facts, routes, *route, *service, arrived);
       co_await call.Run();
     }
-    if (aExchange->Gone()) {
+    if (aExchange->Disconnected()) {
       mState.mMetrics.CountRequest(route->mName, "left", "");
       mState.LogDecision(
         log_level::eInfo,
@@ -266,7 +266,7 @@
   }
 
   /** @return connections to one runner that may rest, by the service that takes the fewest. */
-  std::size_t MostIdle() const
+  std::size_t IdleConnectionLimit() const
   {
     std::size_t most = MostIdleConnections(std::numeric_limits<std::uint32_t>::max(), 1);
     if (mState.mRoutes) {
@@ -277,36 +277,36 @@
     return most;
   }
 
-  asio::awaitable<void> TickTables()
+  asio::awaitable<void> RunTablePasses()
   {
     for (;;) {
       const instant slept = mState.Now();
-      mPassEnded = slept;
-      co_await Sleep(kTableTick);
+      mLastPassAt = slept;
+      co_await Sleep(kTablePassInterval);
       const instant now = mState.Now();
-      if (now - slept > kTableTick + kLatePass) {
-        mStillFrom = slept;
-        mStillTo = now;
+      if (now - slept > kTablePassInterval + kLatePassThreshold) {
+        mStallBegan = slept;
+        mStallEnded = now;
       }
-      if (now - slept > kTableTick + kStandstill) {
+      if (now - slept > kTablePassInterval + kStallThreshold) {
         LogEvent(log_level::eWarning,
                  "stood_still",
-                 { { "ms", (now - slept - kTableTick).count() / 1000 } });
+                 { { "ms", (now - slept - kTablePassInterval).count() / 1000 } });
       }
       mState.NoteRunnersChanged(mState.mRunners.Forget(now, mFollower.Contact().WasAway()));
       mState.mPlacement.Prune(mState.mRunners, now);
       mState.mPool.Prune(now);
       mState.mRefused.Prune(now);
       mLink.Sweep(now);
-      mPlacers.Tick(now - slept > kTableTick + kLatePass);
+      mPlacers.Tick(now - slept > kTablePassInterval + kLatePassThreshold);
       mState.NoteDaemons(mLink.Members().CountServing());
-      mState.mPool.SetMostIdle(MostIdle());
+      mState.mPool.SetMostIdle(IdleConnectionLimit());
       mFollower.Tick();
       mLogTotals = TickLogging();
     }
   }
 
-  asio::awaitable<void> TickRoles()
+  asio::awaitable<void> RunRolePasses()
   {
     co_await Sleep(kRoleTick); // Until the other daemons were heard.
     for (;;) {
@@ -328,12 +328,12 @@
 
   /** @return the earliest that a signal came which is handled at @p aNow: a process that stood
    * still handles it late, and its limit counts from the signal. */
-  instant SignalledSince(instant aNow) const
+  instant EarliestSignalTime(instant aNow) const
   {
-    if (aNow - mPassEnded > kTableTick + kLatePass) {
-      return mPassEnded;
+    if (aNow - mLastPassAt > kTablePassInterval + kLatePassThreshold) {
+      return mLastPassAt;
     }
-    return aNow - mStillTo < kFirstTurn ? mStillFrom : aNow;
+    return aNow - mStallEnded < kResumeHandlingTime ? mStallBegan : aNow;
   }
 
   /**
@@ -343,33 +343,33 @@
   asio::awaitable<void> FinishStop(instant aSince)
   {
     while (mState.Now() < mState.mStopBy) {
-      co_await Sleep(kStopLook);
-      if (mState.Now() - aSince < kBalancerLag) {
+      co_await Sleep(kStopPollInterval);
+      if (mState.Now() - aSince < kBalancerRemovalDelay) {
         continue;
       }
       mListener->StopAccepting();
       mListener->CloseIdle();
-      if (mListener->Shared().mBusy == 0) {
+      if (mListener->State().mActiveRequests == 0) {
         break;
       }
     }
-    LogEvent(
-      log_level::eInfo,
-      "stopped",
-      { { "busy", mListener->Shared().mBusy }, { "ms", (mState.Now() - aSince).count() / 1000 } });
+    LogEvent(log_level::eInfo,
+             "stopped",
+             { { "busy", mListener->State().mActiveRequests },
+               { "ms", (mState.Now() - aSince).count() / 1000 } });
     mState.mIo.stop();
   }
 
   /** A request waits so long for the first configuration: a refusal that comes later is no use to
    * the caller. */
-  static constexpr duration kStartWait = std::chrono::milliseconds(25);
+  static constexpr duration kStartupWait = std::chrono::milliseconds(25);
   /** Time between looks for the first configuration. */
-  static constexpr duration kLookAtStart = std::chrono::milliseconds(5);
+  static constexpr duration kStartupPollInterval = std::chrono::milliseconds(5);
   /** A caller of a daemon that stops may come back then, to another: the time of a new connection
    * between halls, and room for one that is slow. */
-  static constexpr duration kStopComeBack = std::chrono::milliseconds(50);
+  static constexpr duration kStoppingRetryAfter = std::chrono::milliseconds(50);
   /** A caller of a daemon that starts may come back then. */
-  static constexpr duration kStartComeBack = std::chrono::milliseconds(500);
+  static constexpr duration kStartingRetryAfter = std::chrono::milliseconds(500);
 
   forward_state mState;                            ///< Shared by all parts.
   Store mStore;                                    ///< Configuration, runners and terms.
@@ -383,9 +383,9 @@
   std::unique_ptr<http_listener> mConfigListener;  ///< For other daemons.
   std::unique_ptr<http_listener> mReadiness;       ///< For the balancer.
   log_totals mLogTotals;                           ///< Of the last tick.
-  instant mPassEnded{ 0 };                         ///< The last pass over the tables.
-  instant mStillFrom{ 0 };                         ///< End of the pass before the last late one.
-  instant mStillTo{ 0 };                           ///< When the last late pass came.
+  instant mLastPassAt{ 0 };                        ///< The last pass over the tables.
+  instant mStallBegan{ 0 };                        ///< End of the pass before the last late one.
+  instant mStallEnded{ 0 };                        ///< When the last late pass came.
 };
 
 } // namespace dunehook
--- a/src/forward/generation_call.h
+++ b/src/forward/generation_call.h
@@ -14,11 +14,11 @@
 namespace dunehook {
 
 /** Kept off the latency target for the way to the caller. */
-inline constexpr duration kWayToCaller = std::chrono::milliseconds(30);
+inline constexpr duration kCallerDeliveryMargin = std::chrono::milliseconds(30);
 /** A resumed answer is expected to go on for so many tokens at least. */
-inline constexpr std::uint32_t kLeastLeft = 64;
+inline constexpr std::uint32_t kMinRemainingTokens = 64;
 /** Part of the most tokens that is expected where the caller has no guess. */
-inline constexpr double kNoGuessShare = 0.5;
+inline constexpr double kDefaultAnswerShare = 0.5;
 
 /** One generation. */
 template<wire_format Wire>
@@ -42,8 +42,8 @@
     , mArrived(aArrived)
     , mDeadline(aArrived + std::min(aRoute.mTimeout, mFacts.mTimeLeft.value_or(aRoute.mTimeout)))
     , mPlace(aState, *mExchange, mFacts, aRoute.mRank)
-    , mRead(aState, *mExchange, mFacts.mId)
-    , mWatch(aState, *mExchange, mFacts)
+    , mPromptRead(aState, *mExchange, mFacts.mId)
+    , mCrashWatch(aState, *mExchange, mFacts)
   {
     mDemand.mRun = { HashBytes(mFacts.mId) | 1U };
     mDemand.mService = aService.mName;
@@ -55,10 +55,10 @@
     mDemand.mReturned =
       mFacts.mLastEvent.has_value() || mState.mRefused.Contains(mFacts.mPromptKey, aArrived);
     mDemand.mPromptTokens = mFacts.mPromptTokens;
-    mDemand.mAnswerTokens = GuessedTokens();
+    mDemand.mAnswerTokens = ExpectedAnswerTokens();
     mDemand.mMostTokens = mFacts.mMostTokens;
     if (mFacts.mLastEvent) {
-      SkipMade(*mFacts.mLastEvent);
+      SkipDeliveredEvents(*mFacts.mLastEvent);
     }
   }
 
@@ -66,14 +66,14 @@
   asio::awaitable<void> Run()
   {
     mState.BudgetOf(mService.mName).NoteRequest();
-    if (mWatch.Quarantined()) {
+    if (mCrashWatch.Quarantined()) {
       co_await GiveUpQuarantined();
       co_return;
     }
     bool again = true;
-    while (again && !mExchange->Gone()) {
+    while (again && !mExchange->Disconnected()) {
       again = co_await TryOnce();
-      mPlace.Forget();
+      mPlace.EndRun();
     }
   }
 
@@ -84,7 +84,7 @@
    * @param aSends sends that the service will see beyond those of a request that goes well.
    * @return whether the request may be placed anew.
    */
-  bool TakeReplacement(double aSends)
+  bool TakeReplacementBudget(double aSends)
   {
     if (aSends <= 0.0) {
       return true;
@@ -96,20 +96,21 @@
     return allowed;
   }
 
-  std::uint32_t GuessedTokens() const
+  std::uint32_t ExpectedAnswerTokens() const
   {
     const double most = mFacts.mMostTokens > 0 ? mFacts.mMostTokens : mTraits.mMemoryTokens / 8;
-    const double guess = mFacts.mGuessedTokens > 0 ? mFacts.mGuessedTokens : kNoGuessShare * most;
+    const double guess =
+      mFacts.mGuessedTokens > 0 ? mFacts.mGuessedTokens : kDefaultAnswerShare * most;
     return std::max(1U, static_cast<std::uint32_t>(std::min(most, guess)));
   }
 
   /** Counts events that the caller has as part of the prompt. */
-  void SkipMade(std::uint64_t aEvents)
+  void SkipDeliveredEvents(std::uint64_t aEvents)
   {
     const auto made = static_cast<std::uint32_t>(aEvents * mTraits.mTokensPerEvent);
     mDemand.mPromptTokens += made;
     const auto left = [&](std::uint32_t aAll) {
-      return aAll > made + kLeastLeft ? aAll - made : kLeastLeft;
+      return aAll > made + kMinRemainingTokens ? aAll - made : kMinRemainingTokens;
     };
     mDemand.mAnswerTokens = left(mDemand.mAnswerTokens);
     mDemand.mMostTokens = mDemand.mMostTokens > 0 ? left(mDemand.mMostTokens) : 0;
@@ -119,30 +120,30 @@
   asio::awaitable<bool> TryOnce()
   {
     const instant firstEventBy =
-      mStarted ? mDeadline : mArrived + mRoute.mFirstAnswer - kWayToCaller;
-    const duration target = mRoute.mFirstAnswer - kWayToCaller;
+      mStarted ? mDeadline : mArrived + mRoute.mFirstAnswer - kCallerDeliveryMargin;
+    const duration target = mRoute.mFirstAnswer - kCallerDeliveryMargin;
     const place_wait wait = place_wait::Make(mRoute.mFirstAnswer, TimeLeft());
     const bool found = co_await mPlace.Find(
       mDemand, mTraits, firstEventBy, target, wait.After(mState.Now() - mArrived));
     if (!found) {
-      mRead.ThrowAway("no_place");
+      mPromptRead.Discard("no_place");
       co_await GiveUp(mPrefillFailed ? "prefill_failed" : ReasonName(mPlace.NoPlace()));
       co_return false;
     }
-    if (mWatch.Quarantined()) { // Other tries of it may have crashed engines meanwhile.
+    if (mCrashWatch.Quarantined()) { // Other tries of it may have crashed engines meanwhile.
       co_await GiveUpQuarantined();
       co_return false;
     }
-    const bool hasResult = mRead.Usable(mTraits.mResultLifetime, DecodeVersion());
+    const bool hasResult = mPromptRead.IsUsable(mTraits.mResultLifetime, DecodeVersion());
     if (!hasResult) {
-      mRead.ThrowAway("result_lapsed");
+      mPromptRead.Discard("result_lapsed");
     }
     if (!hasResult && mPlace.Choice().mPrefill) {
       const bool read = co_await ReadPrompt();
       if (!read) {
         mPlace.Release();
-        const bool again = !mExchange->Gone() && TakeReplacement(mSendsForRead);
-        if (again && ++mReads <= kMostReads) {
+        const bool again = !mExchange->Disconnected() && TakeReplacementBudget(mExtraReadSends);
+        if (again && ++mFailedReads <= kMaxFailedAttempts) {
           co_return true;
         }
         co_await GiveUp("prefill_failed");
@@ -164,20 +165,20 @@
   asio::awaitable<bool> ReadPrompt()
   {
     const send_plan plan = PlanFor(std::string());
-    const read_end end =
-      co_await mRead.Read(mPlace.Choice(), plan, mDemand, [this] { return TakeReplacement(1.0); });
-    if (mExchange->Gone()) {
-      mRead.ThrowAway("caller_left");
+    const read_outcome end = co_await mPromptRead.Read(
+      mPlace.Choice(), plan, mDemand, [this] { return TakeReplacementBudget(1.0); });
+    if (mExchange->Disconnected()) {
+      mPromptRead.Discard("caller_left");
       co_return false;
     }
-    mPrefillFailed = end != read_end::eRead;
-    if (end == read_end::eBroke) {
-      mWatch.NoteBroken(*mPlace.Choice().mPrefill, false);
+    mPrefillFailed = end != read_outcome::eRead;
+    if (end == read_outcome::eConnectionLost) {
+      mCrashWatch.ReportConnectionLost(*mPlace.Choice().mPrefill, false);
     }
     if (mPrefillFailed) {
       mDemand.mFailed.push_back(*mPlace.Choice().mPrefill);
       // The service sees one call too many, unless nothing reached it.
-      mSendsForRead = end == read_end::eNotSent ? 0.0 : 1.0;
+      mExtraReadSends = end == read_outcome::eNotSent ? 0.0 : 1.0;
     }
     co_return !mPrefillFailed;
   }
@@ -203,59 +204,64 @@
    */
   asio::awaitable<bool> Generate()
   {
-    if (mWatch.Quarantined()) {
+    if (mCrashWatch.Quarantined()) {
       co_await GiveUpQuarantined();
       co_return false;
     }
-    if (!DecodeWants()) {
+    if (!DecodeAcceptsRequests()) {
       mPlace.Release();
-      upstream_answer unsent;
-      co_return co_await AfterRefusedHandoff(unsent, send_outcome::eAbandoned);
+      upstream_response unsent;
+      co_return co_await HandleRefusedHandoff(unsent, send_outcome::eAbandoned);
     }
     send_plan plan = PlanFor(mPlace.DecodeName());
     plan.mReservation = mPlace.UseReservation();
-    plan.mPrefillAt = mRead.At();
+    plan.mPrefillAt = mPromptRead.ResultLocation();
     plan.mRunner = mPlace.Choice().mDecode;
-    mRunBegan = mState.Now();
-    upstream_answer answer = co_await SendToRunner<Wire>(
-      mState, *mExchange, mPlace.DecodeAt(), plan, mFacts.mId, true, TimeLeft() + kAnswerSlack);
-    if (mExchange->Gone()) {
+    mRunStartedAt = mState.Now();
+    upstream_response answer = co_await SendToRunner<Wire>(mState,
+                                                           *mExchange,
+                                                           mPlace.DecodeAddress(),
+                                                           plan,
+                                                           mFacts.mId,
+                                                           true,
+                                                           TimeLeft() + kResponseSlack);
+    if (mExchange->Disconnected()) {
       if (answer.mConnection) {
         answer.mConnection->Abort();
       }
-      mRead.ThrowAway("caller_left");
+      mPromptRead.Discard("caller_left");
       co_return false;
     }
-    if (answer.mEnd == send_end::eNotRun || answer.mEnd == send_end::eNotSent) {
-      co_return co_await AfterRefusedHandoff(answer, OutcomeOf(answer));
+    if (answer.mSendStatus == send_status::eNotRun || answer.mSendStatus == send_status::eNotSent) {
+      co_return co_await HandleRefusedHandoff(answer, OutcomeOf(answer));
     }
-    mRead.NoteTaken();
+    mPromptRead.MarkConsumed();
     ++mSends;
-    if (answer.mEnd == send_end::eUnknown) {
-      co_return co_await AfterBreak(answer.mBroke, false);
+    if (answer.mSendStatus == send_status::eUnknown) {
+      co_return co_await HandleInterruptedRun(answer.mConnectionLost, false);
     }
     const bool success = answer.mFacts.mStatus < 300;
     if (success && !answer.mFacts.mHasReceipt) {
       answer.mConnection->Abort();
-      co_return co_await AfterBreak(false, false);
+      co_return co_await HandleInterruptedRun(false, false);
     }
     if (!success) {
-      co_await PassFailure(answer);
+      co_await ForwardFailure(answer);
       co_return false;
     }
-    co_return co_await PassEvents(answer);
+    co_return co_await ForwardEvents(answer);
   }
 
   /** @return whether the decode engine wants requests of this daemon; one that has given a place
    * may have told another request since that it wants none for a time. */
-  bool DecodeWants() const
+  bool DecodeAcceptsRequests() const
   {
     const runner_state* const decode = mState.mRunners.Find(mPlace.Choice().mDecode);
     return decode == nullptr || mState.Now() >= decode->mQuietUntil;
   }
 
   /** The decode engine didn't take the request. @return whether to go on with another. */
-  asio::awaitable<bool> AfterRefusedHandoff(upstream_answer& aAnswer, send_outcome aOutcome)
+  asio::awaitable<bool> HandleRefusedHandoff(upstream_response& aAnswer, send_outcome aOutcome)
   {
     if (aAnswer.mConnection) {
       aAnswer.mConnection->Abort();
@@ -271,43 +277,43 @@
     // An engine that wasn't reached, or has another role, hasn't taken the result: another may. A
     // refusal may mean that the result is gone.
     const bool keepsResult =
-      aAnswer.mEnd == send_end::eNotSent || aOutcome == send_outcome::eMisdirected;
+      aAnswer.mSendStatus == send_status::eNotSent || aOutcome == send_outcome::eMisdirected;
     if (!keepsResult) {
-      mRead.ThrowAway("handoff_refused");
+      mPromptRead.Discard("handoff_refused");
     }
-    const bool arrived = aAnswer.mEnd == send_end::eNotRun;
-    const bool readAgain = !mRead.Usable(mTraits.mResultLifetime, DecodeVersion());
+    const bool arrived = aAnswer.mSendStatus == send_status::eNotRun;
+    const bool readAgain = !mPromptRead.IsUsable(mTraits.mResultLifetime, DecodeVersion());
     const double sends = (arrived ? 1.0 : 0.0) + (readAgain ? 1.0 : 0.0);
-    ++mHandoffsLost;
-    if (mHandoffsLost <= kMostReads && TakeReplacement(sends)) {
+    ++mFailedHandoffs;
+    if (mFailedHandoffs <= kMaxFailedAttempts && TakeReplacementBudget(sends)) {
       co_return true;
     }
-    mRead.ThrowAway("handoff_refused");
+    mPromptRead.Discard("handoff_refused");
     co_await GiveUp("handoff_refused");
     co_return false;
   }
 
-  asio::awaitable<void> PassFailure(upstream_answer& aAnswer)
+  asio::awaitable<void> ForwardFailure(upstream_response& aAnswer)
   {
     std::string body;
-    const result<void> read =
-      co_await ReadBody(*aAnswer.mConnection, body, kMostHeldAnswer, TimeLeft() + kAnswerSlack);
-    GiveBack(mState, *mExchange, mPlace.DecodeAt(), aAnswer.mConnection);
+    const result<void> read = co_await ReadBody(
+      *aAnswer.mConnection, body, kMaxHeldResponseBytes, TimeLeft() + kResponseSlack);
+    ReturnConnection(mState, *mExchange, mPlace.DecodeAddress(), aAnswer.mConnection);
     mState.NoteEngine(mPlace.Choice().mDecode, send_outcome::eFailed);
     if (mStarted) {
-      mExchange->Tear();
+      mExchange->ResetConnection();
       co_return;
     }
     if (!read) {
-      mUnknown = true;
+      mMayHaveRun = true;
       co_await GiveUp("answer_broken");
       co_return;
     }
-    co_await mExchange->Answer(aAnswer.mFacts.mStatus, aAnswer.mHead, body);
+    co_await mExchange->Respond(aAnswer.mFacts.mStatus, aAnswer.mHead, body);
   }
 
   /** Passes a stream on. @return whether it broke and may go on elsewhere. */
-  asio::awaitable<bool> PassEvents(upstream_answer& aAnswer)
+  asio::awaitable<bool> ForwardEvents(upstream_response& aAnswer)
   {
     upstream_connection& upstream = *aAnswer.mConnection;
     const std::uint32_t before = mEvents.Count();
@@ -315,15 +321,15 @@
     instant lastAt{ 0 };
     for (;;) {
       std::string bytes;
-      const result<bool> read = co_await upstream.ReadSome(bytes, TimeLeft() + kAnswerSlack);
+      const result<bool> read = co_await upstream.ReadSome(bytes, TimeLeft() + kResponseSlack);
       std::string events = mEvents.Feed(bytes);
       const bool ended = read && !read.value();
       if (ended) {
-        events += mEvents.Rest();
-        mEvents.DropRest();
+        events += mEvents.PartialEvent();
+        mEvents.DropPartialEvent();
       }
       if (!events.empty()) {
-        const bool open = co_await PassOn(aAnswer, events);
+        const bool open = co_await SendEvents(aAnswer, events);
         if (!open) {
           upstream.Abort();
           co_return false;
@@ -342,14 +348,14 @@
       const std::uint32_t made = (mEvents.Count() - before) * mTraits.mTokensPerEvent;
       if (!read) {
         upstream.Abort();
-        mEvents.DropRest();
+        mEvents.DropPartialEvent();
         const bool broke = read.error() == errc::eConnectionLost;
-        co_return co_await AfterBreak(broke, firstAt != instant{ 0 });
+        co_return co_await HandleInterruptedRun(broke, firstAt != instant{ 0 });
       }
       mState.mPlacement.Progress(mDemand.mRun, made, mState.Now());
       if (ended) {
         co_await mExchange->EndBody();
-        GiveBack(mState, *mExchange, mPlace.DecodeAt(), aAnswer.mConnection);
+        ReturnConnection(mState, *mExchange, mPlace.DecodeAddress(), aAnswer.mConnection);
         NoteFinished(made, mState.Now() - firstAt);
         NoteServed(made);
         co_return false;
@@ -358,7 +364,7 @@
   }
 
   /** Sends events to the caller, with the head before the first ones. */
-  asio::awaitable<bool> PassOn(const upstream_answer& aAnswer, const std::string& aEvents)
+  asio::awaitable<bool> SendEvents(const upstream_response& aAnswer, const std::string& aEvents)
   {
     if (!mStarted) {
       mStarted = true;
@@ -376,42 +382,42 @@
   /** Decides how a request goes on whose run ended without a whole answer.
    * @param aBroke the connection to the engine ended.
    * @param aProgressed events of this run were passed on. */
-  asio::awaitable<bool> AfterBreak(bool aBroke, bool aProgressed)
+  asio::awaitable<bool> HandleInterruptedRun(bool aBroke, bool aProgressed)
   {
-    if (mExchange->Gone()) { // The caller's leave ended the run, not the engine.
-      mRead.ThrowAway("caller_left");
+    if (mExchange->Disconnected()) { // The caller's leave ended the run, not the engine.
+      mPromptRead.Discard("caller_left");
       mState.mRunners.NoteOutcome(mPlace.Choice().mDecode, send_outcome::eAbandoned, mState.Now());
       co_return false;
     }
     mState.NoteEngine(mPlace.Choice().mDecode, send_outcome::eFailed);
     if (aBroke) {
-      mWatch.NoteBroken(mPlace.Choice().mDecode, aProgressed);
+      mCrashWatch.ReportConnectionLost(mPlace.Choice().mDecode, aProgressed);
     }
     mDemand.mFailed.push_back(mPlace.Choice().mDecode);
-    mUnknown = true;
-    mRead.ThrowAway("run_broke");
+    mMayHaveRun = true;
+    mPromptRead.Discard("run_broke");
     mState.LogDecision(log_level::eWarning,
                        "generation_broke",
                        mFacts.mId,
                        { { "runner", mPlace.DecodeName() },
                          { "events", mEvents.Count() },
                          { "resumable", mRoute.mResumable },
-                         { "began_ms", (mState.Now() - mRunBegan).count() / 1000 },
-                         { "fingerprint", mWatch.Fingerprint().mValue },
+                         { "began_ms", (mState.Now() - mRunStartedAt).count() / 1000 },
+                         { "fingerprint", mCrashWatch.Fingerprint().mValue },
                          { "caller", mExchange->CallerAddress() } });
     mState.mMetrics.CountBroken(mRoute.mName);
     const bool mayGoOn = mRoute.mResumable && mSends < mRoute.mMaxRunners &&
-                         TimeLeft() > mRoute.mFirstAnswer && !mExchange->Gone();
-    if (mayGoOn && TakeReplacement(kSendsOfPlacement)) {
-      if (mEvents.Count() > mCountedEvents) {
-        SkipMade(mEvents.Count() - mCountedEvents);
-        mCountedEvents = mEvents.Count();
+                         TimeLeft() > mRoute.mFirstAnswer && !mExchange->Disconnected();
+    if (mayGoOn && TakeReplacementBudget(kSendsPerPlacement)) {
+      if (mEvents.Count() > mEventsInPrompt) {
+        SkipDeliveredEvents(mEvents.Count() - mEventsInPrompt);
+        mEventsInPrompt = mEvents.Count();
       }
       mArrived = mState.Now();
       co_return true;
     }
     if (mStarted) {
-      mExchange->Tear();
+      mExchange->ResetConnection();
       co_return false;
     }
     co_await GiveUp("generation_broke");
@@ -422,24 +428,24 @@
   asio::awaitable<void> GiveUpQuarantined()
   {
     mPlace.Release();
-    mRead.ThrowAway("quarantined");
+    mPromptRead.Discard("quarantined");
     if (mStarted) {
-      mExchange->Tear();
-    } else if (mUnknown) {
+      mExchange->ResetConnection();
+    } else if (mMayHaveRun) {
       co_await GiveUp("quarantined");
     } else {
-      co_await RefuseQuarantined<Wire>(mState, *mExchange, mFacts, mRoute.mName, mWatch);
+      co_await RefuseQuarantined<Wire>(mState, *mExchange, mFacts, mRoute.mName, mCrashWatch);
     }
   }
 
   /** Gives the final answer of a request that got no events. */
   asio::awaitable<void> GiveUp(std::string_view aReason)
   {
-    if (mExchange->Gone()) {
+    if (mExchange->Disconnected()) {
       co_return;
     }
     unsigned status = 503;
-    if (mUnknown) {
+    if (mMayHaveRun) {
       status = TimeLeft() <= duration{ 0 } ? 504 : 502;
     }
     const duration back = ComeBackIn(mPlace.FreeIn(), mState.Draw());
@@ -460,7 +466,7 @@
                          { "free_ms", mPlace.FreeIn().count() / 1000 },
                          { "held_ms", (mState.Now() - mArrived).count() / 1000 } });
     if (mStarted) {
-      mExchange->Tear();
+      mExchange->ResetConnection();
       co_return;
     }
     if (status == 503) {
@@ -500,20 +506,20 @@
                        "generation_started",
                        mFacts.mId,
                        { { "runner", mPlace.DecodeName() },
-                         { "prefill", mRead.EngineName() },
+                         { "prefill", mPromptRead.EngineName() },
                          { "prompt_key", mFacts.mPromptKey },
                          { "returned", mDemand.mReturned },
                          { "read_elsewhere", mPlace.Choice().mPrefill.has_value() },
                          { "expected_ms", mPlace.Choice().mUntilEvent.count() / 1000 },
                          { "first_ms", (aNow - mArrived).count() / 1000 },
-                         { "placed_alone", mPlace.Alone() },
-                         { "place_ms", mPlace.Waited().count() / 1000 },
+                         { "placed_alone", mPlace.PlacedLocally() },
+                         { "place_ms", mPlace.PlacementTime().count() / 1000 },
                          { "peak", mPlace.Choice().mPeakShare } });
   }
 
   void NoteServed(std::uint32_t aMade)
   {
-    mWatch.NoteServed();
+    mCrashWatch.ReportServed();
     mState.mMetrics.CountRequest(mRoute.mName, "served", "");
     mState.mMetrics.ObserveGap(mRoute.mName, ToSeconds(mLongestGap));
     mState.LogDecision(log_level::eInfo,
@@ -529,9 +535,9 @@
   }
 
   /** Sends of a placement beyond the first: one for the read, one for the answer. */
-  static constexpr double kSendsOfPlacement = 2.0;
+  static constexpr double kSendsPerPlacement = 2.0;
   /** Reads of a prompt, or handoffs, that may fail before a request is given up on. */
-  static constexpr std::uint32_t kMostReads = 2;
+  static constexpr std::uint32_t kMaxFailedAttempts = 2;
 
   forward_state& mState;                      ///< Shared.
   caller_exchange_ptr mExchange;              ///< The caller's side.
@@ -544,18 +550,18 @@
   instant mDeadline;                          ///< When it's too late.
   generation_demand mDemand;                  ///< What is asked of placement.
   generation_place<Wire> mPlace;              ///< Engines that serve it.
-  prompt_read<Wire> mRead;                    ///< What a prefill engine has read.
-  crash_watch mWatch;                         ///< Whether it crashes engines.
+  prompt_read<Wire> mPromptRead;              ///< What a prefill engine has read.
+  crash_watch mCrashWatch;                    ///< Whether it crashes engines.
   event_splitter mEvents;                     ///< Events passed on, over all runs.
-  std::uint32_t mCountedEvents = 0;           ///< Events counted into the demand's prompt.
+  std::uint32_t mEventsInPrompt = 0;          ///< Events counted into the demand's prompt.
   std::uint32_t mSends = 0;                   ///< Decode engines that may have run it.
-  double mSendsForRead = 0.0;                 ///< Sends too many by the last read that failed.
-  std::uint32_t mReads = 0;                   ///< Reads that failed.
-  std::uint32_t mHandoffsLost = 0;            ///< Handoffs that were refused.
-  instant mRunBegan{ 0 };                     ///< When the last run was sent.
+  double mExtraReadSends = 0.0;               ///< Sends too many by the last read that failed.
+  std::uint32_t mFailedReads = 0;             ///< Reads that failed.
+  std::uint32_t mFailedHandoffs = 0;          ///< Handoffs that were refused.
+  instant mRunStartedAt{ 0 };                 ///< When the last run was sent.
   duration mLongestGap{ 0 };                  ///< Longest pause between events passed on.
   bool mStarted = false;                      ///< The caller has the head of the answer.
-  bool mUnknown = false;                      ///< It may have run somewhere.
+  bool mMayHaveRun = false;                   ///< It may have run somewhere.
   bool mPrefillFailed = false;                ///< The last read failed.
 };
 
--- a/src/forward/generation_place.h
+++ b/src/forward/generation_place.h
@@ -10,7 +10,7 @@
 namespace dunehook {
 
 /** Time between looks for a place while a request waits. */
-inline constexpr duration kLookAgain = std::chrono::milliseconds(15);
+inline constexpr duration kPlacementRetryInterval = std::chrono::milliseconds(15);
 /** A reservation outlives the expected end of the read by this. */
 inline constexpr duration kReservationSlack = std::chrono::milliseconds(600);
 
@@ -27,7 +27,7 @@
     : mState(aState)
     , mEngines(aState)
     , mExchange(aExchange)
-    , mRequest(aFacts.mId)
+    , mRequestId(aFacts.mId)
     , mPromptKey(aFacts.mPromptKey)
     , mRank(aRank)
   {
@@ -53,14 +53,14 @@
       aDemand.mFirstEventWithin = aDemand.mReturned ? aTarget : aFirstEventBy - mState.Now();
       aDemand.mWaited = PartOver(spent, aWait.Of(aDemand.mReturned));
       const placement_answer answer = co_await Choose(aDemand, aTraits, aWait.After(spent));
-      if (mExchange.Gone()) {
+      if (mExchange.Disconnected()) {
         co_return false;
       }
       if (answer.mChoice) {
         mChoice = *answer.mChoice;
-        mWaited = mState.Now() - began;
+        mPlacementTime = mState.Now() - began;
         const bool reserved = co_await Reserve(aDemand, aTraits.mLongestHold);
-        if (reserved || mExchange.Gone()) {
+        if (reserved || mExchange.Disconnected()) {
           co_return reserved;
         }
         // An engine that was silent says nothing of the memory that others have: the wait stays.
@@ -68,32 +68,32 @@
           aWait = aWait.Refused(aTarget);
         }
       }
-      const duration wait =
-        std::max<duration>(kLookAgain, std::min(answer.mFreeIn, kLookAgain * 3));
+      const duration wait = std::max<duration>(
+        kPlacementRetryInterval, std::min(answer.mFreeIn, kPlacementRetryInterval * 3));
       const duration most = mState.mStopping ? aWait.mNew : aWait.Of(aDemand.mReturned);
-      const bool refused = !answer.mChoice && !mAlone; // It has waited where others place.
+      const bool refused = !answer.mChoice && !mPlacedLocally; // It has waited where others place.
       if (refused || mState.Now() + wait > began + most) {
         mFreeIn = answer.mFreeIn;
         mNoPlace = answer.mChoice ? no_place::eNoMemory : answer.mReason;
         co_return false;
       }
       co_await Sleep(wait);
-      if (mExchange.Gone()) {
+      if (mExchange.Disconnected()) {
         co_return false;
       }
     }
   }
 
   /** Takes the run out of the table and tells the others. */
-  void Forget()
+  void EndRun()
   {
     if (!mPlaced) {
       return;
     }
     mPlaced = false;
     mState.mPlacement.End(mRun);
-    if (mTold) {
-      mTold = false;
+    if (mAnnounced) {
+      mAnnounced = false;
       run_message message;
       message.mEnded.push_back(mRun);
       mState.mTellPlacers(std::move(message));
@@ -104,7 +104,7 @@
   void Release()
   {
     if (!mReservation.mId.empty()) {
-      mEngines.Release(mDecodeAt, mReservation);
+      mEngines.Release(mDecodeAddress, mReservation);
       mReservation = {};
     }
   }
@@ -113,7 +113,7 @@
   std::string UseReservation() { return std::exchange(mReservation, {}).mId; }
 
   const placement_choice& Choice() const { return mChoice; }
-  const endpoint& DecodeAt() const { return mDecodeAt; }
+  const endpoint& DecodeAddress() const { return mDecodeAddress; }
   /** @return the decode engine's id in the discovery. */
   const std::string& DecodeName() const { return mDecodeName; }
   /** @return why the last look found no place. */
@@ -121,9 +121,9 @@
   /** @return expected time until there's a place, after a look that found none. */
   duration FreeIn() const { return mFreeIn; }
   /** @return whether this daemon chose by itself: none that places had answered. */
-  bool Alone() const { return mAlone; }
+  bool PlacedLocally() const { return mPlacedLocally; }
   /** @return time until the place was given. */
-  duration Waited() const { return mWaited; }
+  duration PlacementTime() const { return mPlacementTime; }
   /** @return reservations that engines refused. */
   std::uint32_t Refusals() const { return mRefusals; }
 
@@ -141,19 +141,19 @@
       question.mPromptKey = mPromptKey;
       question.mRank = mRank;
       question.mWait = aWait;
-      std::function<bool()> gone = [this] { return mExchange.Gone(); };
+      std::function<bool()> gone = [this] { return mExchange.Disconnected(); };
       const std::optional<place_reply> reply =
         co_await mState.mAskPlacer(std::move(question), std::move(gone));
-      mAlone = !reply.has_value();
+      mPlacedLocally = !reply.has_value();
       if (reply) {
         aDemand.mReturned = reply->mReturned;
-        mTold = reply->mState == place_state::ePlaced;
+        mAnnounced = reply->mState == place_state::ePlaced;
         mRun = aDemand.mRun;
-        mPlaced = mTold;
+        mPlaced = mAnnounced;
         placement_answer answer;
         answer.mReason = reply->mReason;
         answer.mFreeIn = reply->mFreeIn;
-        if (mTold) {
+        if (mAnnounced) {
           answer.mChoice = reply->mChoice;
         }
         co_return answer;
@@ -177,10 +177,10 @@
       NoteFull();
     }
     if (decode == nullptr || !mState.mRunners.MayReceive(*decode, mState.Now())) {
-      Forget();
+      EndRun();
       co_return false;
     }
-    mDecodeAt = decode->mEntry.mAddress;
+    mDecodeAddress = decode->mEntry.mAddress;
     mDecodeName = decode->mEntry.mName;
     mReservation = {};
     mEngineRefused = false;
@@ -189,22 +189,22 @@
     mState.mPlacement.Begin(run, mState.Now());
     mPlaced = true;
     if (!mState.mSettings.mPlacement.mReserve) {
-      Tell(run);
+      Announce(run);
       co_return true;
     }
     const duration life = std::min(mChoice.mUntilRead + kReservationSlack, aLongestHold);
     const std::uint32_t tokens = mState.mPlacement.ReservedTokens(aDemand);
     const result<reservation> granted =
-      co_await mEngines.Reserve(mChoice.mDecode, mDecodeAt, tokens, life);
+      co_await mEngines.Reserve(mChoice.mDecode, mDecodeAddress, tokens, life);
     if (!granted) {
       NoteNoReservation(granted.error(), tokens);
-      Forget();
+      EndRun();
       co_return false;
     }
     mReservation = granted.value();
     mState.NoteReserved(mChoice.mDecode);
     mState.mMetrics.CountPlace("granted");
-    Tell(run);
+    Announce(run);
     co_return true;
   }
 
@@ -221,7 +221,7 @@
     mState.mMetrics.CountPlace(reached ? "refused" : "unreachable");
     mState.LogDecision(log_level::eWarning,
                        "reservation_refused",
-                       mRequest,
+                       mRequestId,
                        { { "runner", mDecodeName },
                          { "reached", reached },
                          { "tokens", aTokens },
@@ -237,9 +237,9 @@
     mState.mTellPlacers(std::move(message));
   }
 
-  void Tell(const run_record& aRun)
+  void Announce(const run_record& aRun)
   {
-    mTold = true;
+    mAnnounced = true;
     run_message message;
     message.mBegun.push_back(aRun);
     mState.mTellPlacers(std::move(message));
@@ -248,22 +248,22 @@
   forward_state& mState;                   ///< Shared.
   engine_calls<Wire> mEngines;             ///< Calls beside the request.
   caller_exchange& mExchange;              ///< The caller's side; outlives the place.
-  std::string mRequest;                    ///< The request's id.
+  std::string mRequestId;                  ///< The request's id.
   std::uint64_t mPromptKey;                ///< Of the prompt's own part.
   std::uint32_t mRank;                     ///< Of the route.
   placement_choice mChoice;                ///< The engines, once found.
   run_id mRun;                             ///< The run's id, once in the table.
-  endpoint mDecodeAt;                      ///< Address of the decode engine.
+  endpoint mDecodeAddress;                 ///< Address of the decode engine.
   std::string mDecodeName;                 ///< Its id in the discovery.
   reservation mReservation;                ///< Held and not used yet.
   no_place mNoPlace = no_place::eNoEngine; ///< Why there's no place.
   duration mFreeIn{ 0 };                   ///< Expected time until there's a place.
-  duration mWaited{ 0 };                   ///< Time until there was a place.
+  duration mPlacementTime{ 0 };            ///< Time until there was a place.
   std::uint32_t mRefusals = 0;             ///< Reservations that were refused.
   bool mEngineRefused = false;             ///< The last engine asked has refused the place.
-  bool mAlone = true;                      ///< This daemon chose by itself.
+  bool mPlacedLocally = true;              ///< This daemon chose by itself.
   bool mPlaced = false;                    ///< The run is in the table.
-  bool mTold = false;                      ///< The others know of the run.
+  bool mAnnounced = false;                 ///< The others know of the run.
 };
 
 } // namespace dunehook
--- a/src/forward/plain_call.h
+++ b/src/forward/plain_call.h
@@ -11,18 +11,18 @@
 
 /** Bytes of an answer that are held before the caller gets the first: an answer cut below this
  * can still be replaced by another runner's. */
-inline constexpr std::size_t kHeldAnswerBytes = 65536;
+inline constexpr std::size_t kMaxBufferedBytes = 65536;
 /** A repeatable request waits this many latency targets for one runner before it tries another. */
-inline constexpr int kTargetsBeforeRepeat = 2;
+inline constexpr int kTargetsBeforeRetry = 2;
 /** A request waits for a runner that rests for this part of its latency target: a refusal that
  * comes later is no use to the caller. */
-inline constexpr int kTargetPartToWait = 5;
+inline constexpr int kRunnerWaitDivisor = 5;
 /** Time between looks for a runner. */
-inline constexpr duration kLookForRunner = std::chrono::milliseconds(10);
+inline constexpr duration kRunnerPollInterval = std::chrono::milliseconds(10);
 /** Connections that may fail before a request is given up on; nothing is sent by them. */
-inline constexpr std::uint32_t kMostConnects = 4;
+inline constexpr std::uint32_t kMaxConnectAttempts = 4;
 /** A caller whose request found no runner may come back about then. */
-inline constexpr duration kPlainComeBack = std::chrono::milliseconds(150);
+inline constexpr duration kPlainRetryAfter = std::chrono::milliseconds(150);
 
 /** One plain request. */
 template<wire_format Wire>
@@ -42,7 +42,7 @@
     , mRoutes(std::move(aRoutes))
     , mRoute(aRoute)
     , mService(aService)
-    , mWatch(aState, *mExchange, mFacts)
+    , mCrashWatch(aState, *mExchange, mFacts)
     , mArrived(aArrived)
     , mDeadline(aArrived + std::min(aRoute.mTimeout, mFacts.mTimeLeft.value_or(aRoute.mTimeout)))
   {
@@ -53,26 +53,26 @@
   {
     mState.BudgetOf(mService.mName).NoteRequest();
     bool again = true;
-    while (again && !mExchange->Gone()) {
+    while (again && !mExchange->Disconnected()) {
       again = co_await TryOnce();
     }
   }
 
 private:
-  bool MayRepeat() const { return mRoute.mRepeat == repeat_rule::eRepeatable; }
+  bool MayRetry() const { return mRoute.mRepeat == repeat_rule::eRepeatable; }
   duration TimeLeft() const { return mDeadline - mState.Now(); }
-  duration MostWait() const { return mRoute.mFirstAnswer / kTargetPartToWait; }
+  duration MaxRunnerWait() const { return mRoute.mFirstAnswer / kRunnerWaitDivisor; }
 
   /** @return whether a runner that rests wants requests again while this one may wait. Looks at all
    * runners: only for a request that found none. */
-  bool WillBeWanted() const
+  bool RunnerWillAcceptSoon() const
   {
     return mState.mRunners.HasRunner(mService.mName) &&
-           mState.mRunners.WantedFrom(mService.mName) < mArrived + MostWait();
+           mState.mRunners.WantedFrom(mService.mName) < mArrived + MaxRunnerWait();
   }
 
   /** @return whether another runner may be tried after one that the request reached. */
-  bool TakeRepeat()
+  bool TakeRetryBudget()
   {
     const bool allowed = mSends < mRoute.mMaxRunners && TimeLeft() > duration{ 0 } &&
                          mState.BudgetOf(mService.mName).Take(mState.Now());
@@ -85,19 +85,19 @@
   /** Tries one runner. @return whether to try another. */
   asio::awaitable<bool> TryOnce()
   {
-    if (mWatch.Quarantined()) {
+    if (mCrashWatch.Quarantined()) {
       co_await GiveUpQuarantined();
       co_return false;
     }
     runner_state* const runner =
-      mState.mRunners.Choose(mService.mName, mTried, mState.Now(), mState.Draw());
+      mState.mRunners.Choose(mService.mName, mTriedRunners, mState.Now(), mState.Draw());
     const duration waited = mState.Now() - mArrived;
-    const bool mayWait = mConnects == 0 && waited < MostWait();
-    if (runner == nullptr && mayWait && WillBeWanted()) {
-      co_await Sleep(kLookForRunner);
+    const bool mayWait = mAttempts == 0 && waited < MaxRunnerWait();
+    if (runner == nullptr && mayWait && RunnerWillAcceptSoon()) {
+      co_await Sleep(kRunnerPollInterval);
       co_return true;
     }
-    if (runner == nullptr || mConnects >= kMostConnects || TimeLeft() <= duration{ 0 }) {
+    if (runner == nullptr || mAttempts >= kMaxConnectAttempts || TimeLeft() <= duration{ 0 }) {
       co_await GiveUp(runner == nullptr ? "no_runner" : "unreachable");
       co_return false;
     }
@@ -109,16 +109,16 @@
     plan.mRunner = id;
     plan.mTimeLeft = TimeLeft();
     plan.mRank = mRoute.mRank;
-    mTried.insert(id);
-    ++mConnects;
+    mTriedRunners.insert(id);
+    ++mAttempts;
     ++runner->mUnderWay;
-    const bool mayRepeatLater = MayRepeat() && mSends + 1 < mRoute.mMaxRunners;
-    const duration limit = mayRepeatLater ? std::min(TimeLeft() + kAnswerSlack,
-                                                     mRoute.mFirstAnswer * kTargetsBeforeRepeat)
-                                          : TimeLeft() + kAnswerSlack;
-    upstream_answer answer = co_await SendToRunner<Wire>(
-      mState, *mExchange, address, plan, mFacts.mId, !MayRepeat(), limit);
-    const bool again = co_await Conclude(id, address, answer, limit);
+    const bool mayRepeatLater = MayRetry() && mSends + 1 < mRoute.mMaxRunners;
+    const duration limit = mayRepeatLater ? std::min(TimeLeft() + kResponseSlack,
+                                                     mRoute.mFirstAnswer * kTargetsBeforeRetry)
+                                          : TimeLeft() + kResponseSlack;
+    upstream_response answer = co_await SendToRunner<Wire>(
+      mState, *mExchange, address, plan, mFacts.mId, !MayRetry(), limit);
+    const bool again = co_await HandleSendResult(id, address, answer, limit);
     if (runner_state* const still = mState.mRunners.Find(id)) {
       --still->mUnderWay;
     }
@@ -126,59 +126,59 @@
   }
 
   /** Acts on the end of a send. @return whether to try another runner. */
-  asio::awaitable<bool> Conclude(service_runner_id aRunner,
-                                 endpoint aAddress,
-                                 upstream_answer& aAnswer,
-                                 duration aLimit)
+  asio::awaitable<bool> HandleSendResult(service_runner_id aRunner,
+                                         endpoint aAddress,
+                                         upstream_response& aAnswer,
+                                         duration aLimit)
   {
-    if (mExchange->Gone()) {
-      Note(aRunner, send_outcome::eAbandoned);
+    if (mExchange->Disconnected()) {
+      NoteOutcome(aRunner, send_outcome::eAbandoned);
       co_return false;
     }
-    if (aAnswer.mEnd == send_end::eNotSent) {
-      Note(aRunner, send_outcome::eUnreachable);
+    if (aAnswer.mSendStatus == send_status::eNotSent) {
+      NoteOutcome(aRunner, send_outcome::eUnreachable);
       co_return true; // Nothing left this daemon: another runner is no repeat.
     }
     ++mSends;
     std::string body;
     if (aAnswer.mConnection) {
       const result<void> read =
-        co_await ReadBody(*aAnswer.mConnection, body, kHeldAnswerBytes, aLimit);
+        co_await ReadBody(*aAnswer.mConnection, body, kMaxBufferedBytes, aLimit);
       if (!read && read.error() == errc::eBodyTooLarge) {
         co_await Stream(aAddress, aAnswer, body);
-        Note(aRunner, send_outcome::eServed);
+        NoteOutcome(aRunner, send_outcome::eServed);
         co_return false;
       }
-      GiveBack(mState, *mExchange, aAddress, aAnswer.mConnection);
-      if (!read && aAnswer.mEnd == send_end::eAnswered) {
-        aAnswer.mEnd = send_end::eUnknown;
-        aAnswer.mBroke = read.error() == errc::eConnectionLost;
+      ReturnConnection(mState, *mExchange, aAddress, aAnswer.mConnection);
+      if (!read && aAnswer.mSendStatus == send_status::eAnswered) {
+        aAnswer.mSendStatus = send_status::eUnknown;
+        aAnswer.mConnectionLost = read.error() == errc::eConnectionLost;
       }
     }
-    if (mExchange->Gone()) {
-      Note(aRunner, send_outcome::eAbandoned);
+    if (mExchange->Disconnected()) {
+      NoteOutcome(aRunner, send_outcome::eAbandoned);
       co_return false;
     }
     const bool success = aAnswer.mFacts.mStatus < 300;
-    if (aAnswer.mEnd == send_end::eAnswered && success && !aAnswer.mFacts.mHasReceipt) {
-      aAnswer.mEnd = send_end::eUnknown; // Not the runner's own answer.
+    if (aAnswer.mSendStatus == send_status::eAnswered && success && !aAnswer.mFacts.mHasReceipt) {
+      aAnswer.mSendStatus = send_status::eUnknown; // Not the runner's own answer.
     }
     bool again = false;
-    if (aAnswer.mEnd == send_end::eNotRun) {
-      again = co_await AfterRefusal(aRunner, aAnswer);
-    } else if (aAnswer.mEnd == send_end::eUnknown) {
-      again = co_await AfterLoss(aRunner, aAnswer);
+    if (aAnswer.mSendStatus == send_status::eNotRun) {
+      again = co_await HandleRefusal(aRunner, aAnswer);
+    } else if (aAnswer.mSendStatus == send_status::eUnknown) {
+      again = co_await HandleLostResponse(aRunner, aAnswer);
     } else {
-      again = co_await PassAnswer(aRunner, aAnswer, body);
+      again = co_await ForwardResponse(aRunner, aAnswer, body);
     }
     co_return again;
   }
 
   /** The runner didn't run the request. @return whether to try another. */
-  asio::awaitable<bool> AfterRefusal(service_runner_id aRunner, const upstream_answer& aAnswer)
+  asio::awaitable<bool> HandleRefusal(service_runner_id aRunner, const upstream_response& aAnswer)
   {
-    Note(aRunner, OutcomeOf(aAnswer));
-    if (TakeRepeat()) {
+    NoteOutcome(aRunner, OutcomeOf(aAnswer));
+    if (TakeRetryBudget()) {
       co_return true;
     }
     co_await GiveUp("runner_refused");
@@ -186,24 +186,25 @@
   }
 
   /** The request may have run, and there's no whole answer. @return whether to try another. */
-  asio::awaitable<bool> AfterLoss(service_runner_id aRunner, const upstream_answer& aAnswer)
+  asio::awaitable<bool> HandleLostResponse(service_runner_id aRunner,
+                                           const upstream_response& aAnswer)
   {
-    Note(aRunner, OutcomeOf(aAnswer));
-    if (aAnswer.mBroke) {
-      mWatch.NoteBroken(aRunner, false);
+    NoteOutcome(aRunner, OutcomeOf(aAnswer));
+    if (aAnswer.mConnectionLost) {
+      mCrashWatch.ReportConnectionLost(aRunner, false);
     }
     mState.LogDecision(log_level::eWarning,
                        "answer_lost",
                        mFacts.mId,
                        { { "runner", mRunnerName },
                          { "outcome", OutcomeName(OutcomeOf(aAnswer)) },
-                         { "may_repeat", MayRepeat() },
+                         { "may_repeat", MayRetry() },
                          { "sends", mSends },
-                         { "fingerprint", mWatch.Fingerprint().mValue },
+                         { "fingerprint", mCrashWatch.Fingerprint().mValue },
                          { "caller", mExchange->CallerAddress() } });
     mState.mMetrics.CountBroken(mRoute.mName);
-    mUnknown = true;
-    if (MayRepeat() && TakeRepeat()) {
+    mMayHaveRun = true;
+    if (MayRetry() && TakeRetryBudget()) {
       co_return true;
     }
     co_await GiveUp(aAnswer.mTimedOut ? "runner_silent" : "answer_broken");
@@ -211,27 +212,27 @@
   }
 
   /** Passes a whole answer on, unless it's a failure that another runner may mend. */
-  asio::awaitable<bool> PassAnswer(service_runner_id aRunner,
-                                   const upstream_answer& aAnswer,
-                                   const std::string& aBody)
+  asio::awaitable<bool> ForwardResponse(service_runner_id aRunner,
+                                        const upstream_response& aAnswer,
+                                        const std::string& aBody)
   {
     const bool failed = aAnswer.mFacts.mStatus >= 500;
-    Note(aRunner, failed ? send_outcome::eFailed : send_outcome::eServed);
-    LogAnswer(aAnswer.mFacts.mStatus);
-    if (failed && MayRepeat() && TakeRepeat()) {
-      mFailure.emplace(failure_answer{ aAnswer.mFacts.mStatus, aAnswer.mHead, aBody });
+    NoteOutcome(aRunner, failed ? send_outcome::eFailed : send_outcome::eServed);
+    LogResponse(aAnswer.mFacts.mStatus);
+    if (failed && MayRetry() && TakeRetryBudget()) {
+      mFailure.emplace(failure_response{ aAnswer.mFacts.mStatus, aAnswer.mHead, aBody });
       co_return true;
     }
     const bool success = aAnswer.mFacts.mStatus < 300;
-    mWatch.NoteServed(); // A failure of the runner's own too: it lives on.
+    mCrashWatch.ReportServed(); // A failure of the runner's own too: it lives on.
     mState.mMetrics.CountRequest(
       mRoute.mName, success ? "served" : "failed", success ? "" : "runner_failure");
-    co_await mExchange->Answer(aAnswer.mFacts.mStatus, aAnswer.mHead, aBody);
+    co_await mExchange->Respond(aAnswer.mFacts.mStatus, aAnswer.mHead, aBody);
     co_return false;
   }
 
   /** Writes a line on a runner's answer. */
-  void LogAnswer(unsigned aStatus)
+  void LogResponse(unsigned aStatus)
   {
     const bool good = aStatus < 500;
     const duration took = mState.Now() - mArrived;
@@ -249,7 +250,7 @@
 
   /** Passes a large answer on piece by piece. */
   asio::awaitable<void> Stream(const endpoint& aAddress,
-                               upstream_answer& aAnswer,
+                               upstream_response& aAnswer,
                                std::string& aHeld)
   {
     upstream_connection& upstream = *aAnswer.mConnection;
@@ -259,10 +260,10 @@
     while (open && more) {
       open = co_await mExchange->Write(aHeld);
       aHeld.clear();
-      const result<bool> read = co_await upstream.ReadSome(aHeld, TimeLeft() + kAnswerSlack);
+      const result<bool> read = co_await upstream.ReadSome(aHeld, TimeLeft() + kResponseSlack);
       if (!read) {
         upstream.Abort();
-        mExchange->Tear();
+        mExchange->ResetConnection();
         co_return;
       }
       more = read.value();
@@ -273,16 +274,16 @@
     if (open) {
       co_await mExchange->EndBody();
     }
-    GiveBack(mState, *mExchange, aAddress, aAnswer.mConnection);
+    ReturnConnection(mState, *mExchange, aAddress, aAnswer.mConnection);
   }
 
   /** Gives the final answer of a request that may be sent to no runner any more. */
   asio::awaitable<void> GiveUpQuarantined()
   {
-    if (mUnknown || mFailure) {
+    if (mMayHaveRun || mFailure) {
       co_await GiveUp("quarantined");
     } else {
-      co_await RefuseQuarantined<Wire>(mState, *mExchange, mFacts, mRoute.mName, mWatch);
+      co_await RefuseQuarantined<Wire>(mState, *mExchange, mFacts, mRoute.mName, mCrashWatch);
     }
   }
 
@@ -290,14 +291,14 @@
   asio::awaitable<void> GiveUp(std::string_view aReason)
   {
     if (mFailure) {
-      co_await mExchange->Answer(mFailure->mStatus, mFailure->mHead, mFailure->mBody);
+      co_await mExchange->Respond(mFailure->mStatus, mFailure->mHead, mFailure->mBody);
       co_return;
     }
     unsigned status = 503;
-    if (mUnknown) {
+    if (mMayHaveRun) {
       status = TimeLeft() <= duration{ 0 } ? 504 : 502;
     }
-    const duration back = ComeBackIn();
+    const duration back = RetryAfter();
     mState.mMetrics.CountRequest(mRoute.mName, status == 503 ? "refused" : "failed", aReason);
     mState.LogDecision(log_level::eWarning,
                        "request_given_up",
@@ -312,10 +313,10 @@
   }
 
   /** @return when the caller of a request that found no runner shall come back. */
-  duration ComeBackIn()
+  duration RetryAfter()
   {
     const double spread = 0.5 + mState.Draw();
-    const duration back = FromSeconds(ToSeconds(kPlainComeBack) * spread);
+    const duration back = FromSeconds(ToSeconds(kPlainRetryAfter) * spread);
     if (!mState.mRunners.HasRunner(mService.mName)) {
       return back;
     }
@@ -323,13 +324,13 @@
     return back + std::max(duration{ 0 }, rest);
   }
 
-  void Note(service_runner_id aRunner, send_outcome aOutcome)
+  void NoteOutcome(service_runner_id aRunner, send_outcome aOutcome)
   {
     mState.mRunners.NoteOutcome(aRunner, aOutcome, mState.Now());
   }
 
   /** A failure of a runner's own, for the caller if no other runner does better. */
-  struct failure_answer
+  struct failure_response
   {
     unsigned mStatus = 0; ///< HTTP status.
     http::fields mHead;   ///< Fields for the caller.
@@ -342,15 +343,15 @@
   std::shared_ptr<const route_table> mRoutes; ///< Keeps mRoute and mService alive.
   const forward_route& mRoute;                ///< Its route.
   const forward_service& mService;            ///< The service that takes it.
-  crash_watch mWatch;                         ///< Whether it crashes runners.
+  crash_watch mCrashWatch;                    ///< Whether it crashes runners.
   instant mArrived;                           ///< When it was read.
   instant mDeadline;                          ///< When it's too late.
-  std::set<service_runner_id> mTried;         ///< Runners tried.
+  std::set<service_runner_id> mTriedRunners;  ///< Runners tried.
   std::string mRunnerName;                    ///< Runner of the last try.
   std::uint32_t mSends = 0;                   ///< Runners that it reached; at most mMaxRunners.
-  std::uint32_t mConnects = 0;                ///< Runners tried, reached or not.
-  bool mUnknown = false;                      ///< It may have run somewhere.
-  std::optional<failure_answer> mFailure;     ///< The last failure that was repeated.
+  std::uint32_t mAttempts = 0;                ///< Runners tried, reached or not.
+  bool mMayHaveRun = false;                   ///< It may have run somewhere.
+  std::optional<failure_response> mFailure;   ///< The last failure that was repeated.
 };
 
 } // namespace dunehook
--- a/src/forward/upstream_send.cpp
+++ b/src/forward/upstream_send.cpp
@@ -10,7 +10,7 @@
 namespace dunehook {
 
 bool
-IsHopHeader(std::string_view aName)
+IsHopByHopHeader(std::string_view aName)
 {
   static constexpr std::array<std::string_view, 10> kNames{ "Connection",
                                                             "Keep-Alive",
@@ -28,7 +28,7 @@
 }
 
 std::vector<std::string>
-ListedByConnection(const http::fields& aHead)
+ConnectionHeaderTokens(const http::fields& aHead)
 {
   std::vector<std::string> names;
   const auto range = aHead.equal_range(http::field::connection);
@@ -44,7 +44,7 @@
 http::fields
 FieldsForCaller(const http::fields& aHead)
 {
-  const std::vector<std::string> listed = ListedByConnection(aHead);
+  const std::vector<std::string> listed = ConnectionHeaderTokens(aHead);
   http::fields out;
   for (const auto& field : aHead) {
     const std::string_view name{ field.name_string().data(), field.name_string().size() };
@@ -52,7 +52,7 @@
       std::any_of(listed.begin(), listed.end(), [&](const std::string& aListed) {
         return beast::iequals(aListed, field.name_string());
       });
-    if (!IsHopHeader(name) && !isListed && field.name() != http::field::content_length) {
+    if (!IsHopByHopHeader(name) && !isListed && field.name() != http::field::content_length) {
       out.insert(field.name_string(), field.value());
     }
   }
@@ -78,11 +78,14 @@
 }
 
 asio::awaitable<result<void>>
-ReadBody(upstream_connection& aConnection, std::string& aOut, std::size_t aMost, duration aLimit)
+ReadBody(upstream_connection& aConnection,
+         std::string& aOut,
+         std::size_t aMaxBytes,
+         duration aLimit)
 {
   bool more = true;
   while (more) {
-    if (aOut.size() > aMost) {
+    if (aOut.size() > aMaxBytes) {
       co_return make_error_code(errc::eBodyTooLarge);
     }
     const result<bool> read = co_await aConnection.ReadSome(aOut, aLimit);
--- a/src/forward/upstream_send.h
+++ b/src/forward/upstream_send.h
@@ -17,10 +17,10 @@
 /** Longest wait for a connection to a runner; halls lie some milliseconds apart. */
 inline constexpr duration kConnectTime = std::chrono::milliseconds(250);
 /** Time beyond a request's limit that a runner gets to tell of its own end. */
-inline constexpr duration kAnswerSlack = std::chrono::milliseconds(120);
+inline constexpr duration kResponseSlack = std::chrono::milliseconds(120);
 
 /** What is known after a send. */
-enum class send_end
+enum class send_status
 {
   eNotSent,  ///< No connection: nothing left this daemon.
   eNotRun,   ///< The runner told that it did not run the request.
@@ -29,23 +29,23 @@
 };
 
 /** A send and the head of its answer. */
-struct upstream_answer
+struct upstream_response
 {
-  send_end mEnd = send_end::eNotSent; ///< What is known.
-  answer_facts mFacts;                ///< Of the head, if there is one.
-  http::fields mHead;                 ///< Fields for the caller, if answered.
-  upstream_ptr mConnection;           ///< Where the body follows, if answered.
-  bool mTimedOut = false;             ///< It ended by its time limit.
-  bool mBroke = false;                ///< The connection ended before the answer did.
+  send_status mSendStatus = send_status::eNotSent; ///< What is known.
+  answer_facts mFacts;                             ///< Of the head, if there is one.
+  http::fields mHead;                              ///< Fields for the caller, if answered.
+  upstream_ptr mConnection;                        ///< Where the body follows, if answered.
+  bool mTimedOut = false;                          ///< It ended by its time limit.
+  bool mConnectionLost = false;                    ///< The connection ended before the answer did.
 };
 
 /** @return whether a field concerns one connection only. */
 bool
-IsHopHeader(std::string_view aName);
+IsHopByHopHeader(std::string_view aName);
 
 /** @return the names that a Connection field lists, in lower case. */
 std::vector<std::string>
-ListedByConnection(const http::fields& aHead);
+ConnectionHeaderTokens(const http::fields& aHead);
 
 /** @return the head to send for a caller's request, as text. */
 template<wire_format Wire>
@@ -53,7 +53,7 @@
 BuildUpstreamRequest(const caller_exchange& aExchange, const send_plan& aPlan)
 {
   const auto& request = aExchange.Request();
-  const std::vector<std::string> listed = ListedByConnection(request);
+  const std::vector<std::string> listed = ConnectionHeaderTokens(request);
   http::fields out;
   for (const auto& field : request) {
     const std::string_view name{ field.name_string().data(), field.name_string().size() };
@@ -61,7 +61,7 @@
       std::any_of(listed.begin(), listed.end(), [&](const std::string& aListed) {
         return beast::iequals(aListed, field.name_string());
       });
-    const bool drop = IsHopHeader(name) || Wire::IsOwnHeader(name) ||
+    const bool drop = IsHopByHopHeader(name) || Wire::IsOwnHeader(name) ||
                       field.name() == http::field::content_length ||
                       (isListed && !Wire::IsFixedHeader(name) && field.name() != http::field::host);
     if (!drop) {
@@ -100,7 +100,7 @@
  * @param aLimit longest wait for the head.
  */
 template<wire_format Wire>
-asio::awaitable<upstream_answer>
+asio::awaitable<upstream_response>
 SendToRunner(forward_state& aState,
              caller_exchange& aExchange,
              const endpoint& aTo,
@@ -109,24 +109,24 @@
              bool aOnlyProven,
              duration aLimit)
 {
-  upstream_answer answer;
+  upstream_response answer;
   const duration connectTime = std::min(kConnectTime, aLimit);
   result<upstream_ptr> taken =
     co_await aState.mPool.Take(aTo, aOnlyProven, aState.Now(), connectTime);
-  if (!taken || aExchange.Gone()) {
+  if (!taken || aExchange.Disconnected()) {
     if (taken) {
       aState.mPool.Give(aTo, taken.value(), aState.Now());
     }
     co_return answer;
   }
   const upstream_ptr connection = taken.value();
-  aExchange.OnGone([connection] { connection->Abort(); });
+  aExchange.OnDisconnect([connection] { connection->Abort(); });
   const upstream_request request = BuildUpstreamRequest<Wire>(aExchange, aPlan);
   const auto head = co_await connection->Start(request, aLimit);
-  answer.mEnd = send_end::eUnknown;
+  answer.mSendStatus = send_status::eUnknown;
   if (!head) {
     answer.mTimedOut = head.error() == errc::eDeadlinePassed;
-    answer.mBroke = head.error() == errc::eConnectionLost;
+    answer.mConnectionLost = head.error() == errc::eConnectionLost;
     connection->Abort();
     co_return answer;
   }
@@ -139,25 +139,25 @@
   aState.NoteNotice(aPlan.mRunner, answer.mFacts.mNotice);
   answer.mHead = FieldsForCaller(*head.value());
   answer.mConnection = connection;
-  answer.mEnd = answer.mFacts.mNotRun ? send_end::eNotRun : send_end::eAnswered;
+  answer.mSendStatus = answer.mFacts.mNotRun ? send_status::eNotRun : send_status::eAnswered;
   if (answer.mFacts.mStatus < 200) {
     connection->Abort();
-    answer.mEnd = send_end::eUnknown;
+    answer.mSendStatus = send_status::eUnknown;
   }
   co_return answer;
 }
 
 /** @return what a send that gave no answer says of the runner. */
 inline send_outcome
-OutcomeOf(const upstream_answer& aAnswer)
+OutcomeOf(const upstream_response& aAnswer)
 {
   if (aAnswer.mFacts.mMisdirected) {
     return send_outcome::eMisdirected;
   }
-  if (aAnswer.mEnd == send_end::eNotRun) {
+  if (aAnswer.mSendStatus == send_status::eNotRun) {
     return send_outcome::eRefused;
   }
-  const bool silent = aAnswer.mEnd == send_end::eNotSent || aAnswer.mTimedOut;
+  const bool silent = aAnswer.mSendStatus == send_status::eNotSent || aAnswer.mTimedOut;
   return silent ? send_outcome::eUnreachable : send_outcome::eFailed;
 }
 
@@ -167,12 +167,12 @@
 
 /** Gives a connection back: from then on it's not this caller's to end. */
 inline void
-GiveBack(forward_state& aState,
-         caller_exchange& aExchange,
-         const endpoint& aTo,
-         const upstream_ptr& aConnection)
+ReturnConnection(forward_state& aState,
+                 caller_exchange& aExchange,
+                 const endpoint& aTo,
+                 const upstream_ptr& aConnection)
 {
-  aExchange.OnGone(nullptr);
+  aExchange.OnDisconnect(nullptr);
   aState.mPool.Give(aTo, aConnection, aState.Now());
 }
 
@@ -182,7 +182,10 @@
  * @return the body, eBodyTooLarge with its start in @p aOut, or why it ended.
  */
 asio::awaitable<result<void>>
-ReadBody(upstream_connection& aConnection, std::string& aOut, std::size_t aMost, duration aLimit);
+ReadBody(upstream_connection& aConnection,
+         std::string& aOut,
+         std::size_t aMaxBytes,
+         duration aLimit);
 
 /** Answers that the request didn't run, and when to come back. */
 template<wire_format Wire>
@@ -190,14 +193,14 @@
 Refuse(caller_exchange& aExchange,
        const std::string& aRequestId,
        unsigned aStatus,
-       duration aComeBackIn,
+       duration aRetryAfter,
        std::string_view aReason)
 {
   http::fields head;
   head.set(http::field::content_type, "application/json");
-  Wire::WriteRefusal(aRequestId, aComeBackIn, head);
+  Wire::WriteRefusal(aRequestId, aRetryAfter, head);
   const std::string body = Join("{\"error\":\"", aReason, "\"}");
-  co_await aExchange.Answer(aStatus, head, body);
+  co_await aExchange.Respond(aStatus, head, body);
 }
 
 } // namespace dunehook
--- a/tests/platform/notice_test.cpp
+++ b/tests/platform/notice_test.cpp
@@ -38,7 +38,7 @@
   int mRequest = 0; ///< Number of the last request.
 
   /** Sends a repeatable request. @return the runner that saw it last. */
-  std::string Ask(std::size_t aDaemon = 0)
+  std::string SendRequest(std::size_t aDaemon = 0)
   {
     const std::string id = "r" + std::to_string(++mRequest);
     mAnswer = Call(mBed.Callers(aDaemon), "GET", "/pages/a", "", CallerHeaders(id));
@@ -47,10 +47,10 @@
   }
 
   /** Asks until a runner was met. @return whether it was. */
-  bool AskUntil(const std::string& aRunner)
+  bool SendUntilSeenBy(const std::string& aRunner)
   {
     for (int i = 0; i < kRequests; ++i) {
-      if (Ask() == aRunner) {
+      if (SendRequest() == aRunner) {
         return true;
       }
     }
@@ -58,11 +58,11 @@
   }
 
   /** @return how many of some requests a runner sees. */
-  int CountAt(const std::string& aRunner, std::size_t aDaemon = 0)
+  int CountRequestsAt(const std::string& aRunner, std::size_t aDaemon = 0)
   {
     int count = 0;
     for (int i = 0; i < kRequests; ++i) {
-      count += Ask(aDaemon) == aRunner ? 1 : 0;
+      count += SendRequest(aDaemon) == aRunner ? 1 : 0;
     }
     return count;
   }
@@ -84,7 +84,7 @@
 
   /** Lets the engine say that it leaves which is chosen while none does. @return how many of some
    * generations go there once it has said so. */
-  int CountAfterLeave(const std::string& aRole)
+  int CountRunsAfterLeave(const std::string& aRole)
   {
     const std::string usual = Generate(aRole);
     CHECK_TRUE(usual != "");
@@ -100,31 +100,31 @@
   answer mAnswer; ///< Of the last request.
 };
 
-TEST(notices, ARunnerThatSaysInItsAnswersThatItLeavesGetsNoMoreRequests)
+TEST(notices, ARunnerThatAnnouncesItsLeaveGetsNoMoreRequests)
 {
   mBed.StartUsual();
   mBed.SetStore("silent");
   mBed.SetRunner("desk-1", { { "leaves", true } });
-  CHECK_TRUE(AskUntil("desk-1"));
-  LONGS_EQUAL(0, CountAt("desk-1"));
+  CHECK_TRUE(SendUntilSeenBy("desk-1"));
+  LONGS_EQUAL(0, CountRequestsAt("desk-1"));
 }
 
-TEST(notices, AGeneratorThatSaysThatItLeavesGetsNoMoreRuns)
+TEST(notices, ADecodeEngineThatAnnouncesItsLeaveGetsNoMoreRuns)
 {
   mBed.StartUsual();
   mBed.SetStore("silent");
-  LONGS_EQUAL(0, CountAfterLeave("decode"));
+  LONGS_EQUAL(0, CountRunsAfterLeave("decode"));
 }
 
-TEST(notices, AReaderThatSaysThatItLeavesGetsNoMorePrompts)
+TEST(notices, APrefillEngineThatAnnouncesItsLeaveGetsNoMorePrompts)
 {
   mBed.AddRunner("prefill-2", { "tutor", "prefill" });
   mBed.StartUsual();
   mBed.SetStore("silent");
-  LONGS_EQUAL(0, CountAfterLeave("prefill"));
+  LONGS_EQUAL(0, CountRunsAfterLeave("prefill"));
 }
 
-TEST(notices, ARunnerThatWantsNothingForATimeIsLeftAloneUntilThen)
+TEST(notices, ABackingOffRunnerGetsNoRequestsUntilItsBackoffEnds)
 {
   constexpr std::int64_t kRestMs = 2000;
   mBed.StartUsual();
@@ -138,12 +138,12 @@
     return std::int64_t{ 0 };
   };
   while (first() == 0 && mRequest < kRequests) {
-    Ask();
+    SendRequest();
   }
   const std::int64_t refusedAt = first();
   CHECK(refusedAt != 0);
   while (NowMs() < refusedAt + kRestMs) {
-    Ask();
+    SendRequest();
   }
   int early = 0;
   for (const json& seen : mBed.Seen()) {
@@ -151,20 +151,20 @@
     early += seen.value("runner", "") == "desk-1" && after > 0 && after < kRestMs ? 1 : 0;
   }
   LONGS_EQUAL(0, early);
-  CHECK_TRUE_TEXT(AskUntil("desk-1"), "it's asked again afterwards");
+  CHECK_TRUE_TEXT(SendUntilSeenBy("desk-1"), "it's asked again afterwards");
 }
 
-TEST(notices, WhereAllWantNothingACallerIsToldAtOnceWhenToComeBack)
+TEST(notices, WhenAllRunnersBackOffCallersGetARetryTimeAtOnce)
 {
   mBed.StartUsual();
   for (const char* const runner : { "desk-1", "desk-2" }) {
     mBed.SetRunner(runner, { { "mode", "refuse" }, { "retry_after", "3" } });
   }
   for (int i = 0; i < 2; ++i) { // Both are met: a request goes to a second runner.
-    Ask();
+    SendRequest();
   }
   const std::int64_t began = NowMs();
-  CHECK_EQUAL("", Ask());
+  CHECK_EQUAL("", SendRequest());
   const std::int64_t took = NowMs() - began;
   CHECK_EQUAL(503U, mAnswer.mStatus);
   CHECK_TRUE(took < kRefusalMs);
@@ -172,7 +172,7 @@
   CHECK_TRUE(back > 1.5 && back < 6.0); // Its half second to one and a half, of three seconds.
 }
 
-TEST(notices, AnEngineThatWantsNothingForATimeIsNotAskedForPlaces)
+TEST(notices, ABackingOffEngineIsNotAskedForReservations)
 {
   mBed.StartUsual();
   const std::string usual = Generate("decode");
@@ -193,14 +193,14 @@
   LONGS_EQUAL(before + 1, asked());
 }
 
-TEST(notices, WhatOneDaemonHearsOfALeaveTheOthersHeed)
+TEST(notices, ALeaveAnnouncedToOneDaemonIsHeededByTheOthers)
 {
   mBed.StartUsual();
   mBed.StartDaemon();
   CHECK_TRUE(mBed.Daemon().WaitForLine("daemon_heard") != "");
   mBed.SetStore("silent");
   mBed.SetRunner("desk-1", { { "leaves", true } });
-  CHECK_TRUE(AskUntil("desk-1"));
+  CHECK_TRUE(SendUntilSeenBy("desk-1"));
   CHECK_TRUE(mBed.Daemon(1).WaitForLine("\"leaving\":true", 2000) != "");
-  LONGS_EQUAL(0, CountAt("desk-1", 1));
+  LONGS_EQUAL(0, CountRequestsAt("desk-1", 1));
 }
--- a/tests/platform/stop_late_test.cpp
+++ b/tests/platform/stop_late_test.cpp
@@ -30,22 +30,22 @@
 /** `loss-slack-ms` in the rules: a request that isn't run is closed within this many ms of its last
  * byte, or answered. */
 constexpr std::int64_t kLossSlackMs = 200;
-/** The daemon takes requests for this many ms after SIGTERM (kBalancerLag). */
-constexpr std::int64_t kTakesMs = 2600;
+/** The daemon takes requests for this many ms after SIGTERM (kBalancerRemovalDelay). */
+constexpr std::int64_t kAcceptsMs = 2600;
 /** A moment after requests stop being taken and after kSentLateMs, in ms after SIGTERM. */
 constexpr std::int64_t kLateMs = 3300;
 /** A moment at which requests are still taken, in ms after SIGTERM. */
 constexpr std::int64_t kEarlyMs = 1000;
 /** Just before a moment or just after it, in ms: beyond the 50 ms between two looks of the stop. */
-constexpr std::int64_t kJustMs = 100;
+constexpr std::int64_t kMarginMs = 100;
 /** Time between signals in a stop, in ms. */
 constexpr std::int64_t kBetweenSignalsMs = 500;
 /** How long a process stands still, in ms: three times the margin of its stop (kStopMargin). */
-constexpr std::int64_t kStillMs = 1500;
+constexpr std::int64_t kStallMs = 1500;
 /** The same where it can end in time and yet cut nothing before the last sixth of the grace,
  * whenever the signal came meanwhile, in ms: under a sixth of the grace, with room for the 250 ms
  * between two signs of its running. */
-constexpr std::int64_t kShortStillMs = 800;
+constexpr std::int64_t kShortStallMs = 800;
 /** Time between the events of a stream, in ms, as the engines are set here. */
 constexpr int kEventMs = 100;
 /** Time that a plain request takes, in ms, as the runners are set here. */
@@ -57,20 +57,20 @@
 /** Events of a stream that the stop cuts though it began before SIGTERM (12 s). */
 constexpr int kEndlessEvents = 120;
 /** Tokens of the prompts. */
-constexpr int kPrompt = 1000;
+constexpr int kPromptTokens = 1000;
 /** The longest that a caller waits for an answer, in ms: beyond the longest stop. */
-constexpr int kAnswerMs = 15000;
+constexpr int kResponseTimeoutMs = 15000;
 /** Rest of a caller that couldn't connect, in ms. */
-constexpr int kConnectRestMs = 20;
+constexpr int kReconnectDelayMs = 20;
 
 /** What became of a request. */
-struct fate
+struct request_outcome
 {
-  std::string mId;          ///< Its id.
-  std::int64_t mSentAt = 0; ///< When its last byte was sent, in ms.
-  std::int64_t mEndAt = 0;  ///< When its answer or its connection ended, in ms.
-  unsigned mStatus = 0;     ///< Of its whole answer; 0: there was none.
-  bool mKept = false;       ///< It wasn't the first on its connection.
+  std::string mId;                ///< Its id.
+  std::int64_t mSentAt = 0;       ///< When its last byte was sent, in ms.
+  std::int64_t mEndAt = 0;        ///< When its answer or its connection ended, in ms.
+  unsigned mStatus = 0;           ///< Of its whole answer; 0: there was none.
+  bool mReusedConnection = false; ///< It wasn't the first on its connection.
 };
 
 /** @return the bytes of a request. */
@@ -88,7 +88,7 @@
 std::string
 StreamText(const std::string& aId, int aEvents, const std::string& aBody = "")
 {
-  return RequestText("/resumed/a", GenerationHeaders(aId, kPrompt, aEvents), aBody);
+  return RequestText("/resumed/a", GenerationHeaders(aId, kPromptTokens, aEvents), aBody);
 }
 
 /** @return the bytes of a plain request that may run once. */
@@ -105,10 +105,10 @@
 }
 
 /** A caller's connection, on which it sends what it likes and reads answer after answer. */
-class kept_connection
+class persistent_connection
 {
 public:
-  explicit kept_connection(const std::string& aAddress)
+  explicit persistent_connection(const std::string& aAddress)
   {
     const endpoint to = ParseEndpoint(aAddress).value();
     boost::system::error_code error;
@@ -125,30 +125,30 @@
     asio::write(mStream.socket(), asio::buffer(aBytes), error);
   }
   /** Sends a whole request, or the rest of one. */
-  void Send(const std::string& aBytes, fate& aFate)
+  void Send(const std::string& aBytes, request_outcome& aOutcome)
   {
-    aFate.mKept = mSends++ > 0;
+    aOutcome.mReusedConnection = mSends++ > 0;
     Send(aBytes);
-    aFate.mSentAt = NowMs();
+    aOutcome.mSentAt = NowMs();
   }
   /** Reads the next answer up to its end, or up to the connection's. */
-  void Read(fate& aFate)
+  void Read(request_outcome& aOutcome)
   {
-    asio::co_spawn(mIo, ReadOne(aFate), asio::detached);
+    asio::co_spawn(mIo, ReadOne(aOutcome), asio::detached);
     mIo.restart();
     mIo.run();
-    aFate.mEndAt = NowMs();
+    aOutcome.mEndAt = NowMs();
   }
 
 private:
-  asio::awaitable<void> ReadOne(fate& aFate)
+  asio::awaitable<void> ReadOne(request_outcome& aOutcome)
   {
     http::response_parser<http::string_body> parser;
     boost::system::error_code error;
-    mStream.expires_after(std::chrono::milliseconds(kAnswerMs));
+    mStream.expires_after(std::chrono::milliseconds(kResponseTimeoutMs));
     co_await http::async_read(
       mStream, mBuffer, parser, asio::redirect_error(asio::use_awaitable, error));
-    aFate.mStatus = error ? 0 : parser.get().result_int();
+    aOutcome.mStatus = error ? 0 : parser.get().result_int();
     mOpen = !error && parser.get().keep_alive();
   }
 
@@ -199,24 +199,26 @@
   }
 
   /** @return what is wrong with a request that the stop has no excuse for; empty if nothing is. */
-  std::string FaultOf(const fate& aFate)
+  std::string UnexcusedFailure(const request_outcome& aOutcome)
   {
-    const std::string told = aFate.mId + ", sent " + std::to_string(aFate.mSentAt - mSignalAt) +
-                             " ms after SIGTERM" + (aFate.mKept ? " behind another" : "") +
-                             ", ended at " + std::to_string(aFate.mEndAt - mSignalAt) +
-                             " ms: " + std::to_string(aFate.mStatus) + "; ";
-    switch (aFate.mStatus) {
+    const std::string description =
+      aOutcome.mId + ", sent " + std::to_string(aOutcome.mSentAt - mSignalAt) +
+      " ms after SIGTERM" + (aOutcome.mReusedConnection ? " behind another" : "") + ", ended at " +
+      std::to_string(aOutcome.mEndAt - mSignalAt) + " ms: " + std::to_string(aOutcome.mStatus) +
+      "; ";
+    switch (aOutcome.mStatus) {
       case 200:
         return "";
       case 503:
-        return Ran(aFate.mId) ? "refused and run: " + told : "";
+        return Ran(aOutcome.mId) ? "refused and run: " + description : "";
       case 0:
-        if (!mBed.Seen(aFate.mId).empty()) {
-          return "passed on and cut: " + told;
+        if (!mBed.Seen(aOutcome.mId).empty()) {
+          return "passed on and cut: " + description;
         }
-        return aFate.mEndAt - aFate.mSentAt > kLossSlackMs ? "held and closed: " + told : "";
+        return aOutcome.mEndAt - aOutcome.mSentAt > kLossSlackMs ? "held and closed: " + description
+                                                                 : "";
       default:
-        return "failed: " + told;
+        return "failed: " + description;
     }
   }
 
@@ -230,58 +232,58 @@
   }
 
   /** Begins a stream on a connection and waits until an engine runs it. */
-  void BeginStream(kept_connection & aConnection, fate & aFate, int aEvents)
+  void BeginStream(persistent_connection & aConnection, request_outcome & aOutcome, int aEvents)
   {
-    aConnection.Send(StreamText(aFate.mId, aEvents), aFate);
-    CHECK(Eventually([&] { return Ran(aFate.mId); }));
+    aConnection.Send(StreamText(aOutcome.mId, aEvents), aOutcome);
+    CHECK(Eventually([&] { return Ran(aOutcome.mId); }));
   }
 
   /**
    * A caller that sends its next request the moment an answer ends, until the process has gone.
    * @param aFirst events of its first stream; it sends plain requests only if there are none.
    */
-  void CallOnAndOn(const std::string& aName, int aFirst, std::vector<fate>& aFates)
+  void SendUntilExit(const std::string& aName, int aFirst, std::vector<request_outcome>& aOutcomes)
   {
-    std::unique_ptr<kept_connection> connection;
-    for (int number = 0; !mGone; ++number) {
+    std::unique_ptr<persistent_connection> connection;
+    for (int number = 0; !mProcessEnded; ++number) {
       if (!connection || !connection->Open()) {
-        connection = std::make_unique<kept_connection>(mBed.Callers());
+        connection = std::make_unique<persistent_connection>(mBed.Callers());
       }
       if (!connection->Open()) {
-        std::this_thread::sleep_for(std::chrono::milliseconds(kConnectRestMs));
+        std::this_thread::sleep_for(std::chrono::milliseconds(kReconnectDelayMs));
         continue;
       }
-      fate one;
+      request_outcome one;
       one.mId = aName + "-" + std::to_string(number);
       // Whatever is taken in time ends in time; whatever is taken late would be cut.
       const bool late = mSignalAt != 0 && SinceSignal() > kSentLateMs;
       const int events = number == 0 ? aFirst : late ? kLongEvents : kShortEvents;
       connection->Send(aFirst == 0 ? PlainText(one.mId) : StreamText(one.mId, events), one);
       connection->Read(one);
-      aFates.push_back(one);
+      aOutcomes.push_back(one);
     }
   }
 
   fleet_bed mBed;                           ///< The deployment.
   std::atomic<std::int64_t> mSignalAt{ 0 }; ///< When SIGTERM was sent, in ms; 0: not yet.
-  std::atomic<bool> mGone{ false };         ///< The process has ended.
+  std::atomic<bool> mProcessEnded{ false }; ///< The process has ended.
 };
 
 // A request that a caller sent behind another on its connection was read while that one's stream
 // ran. When the stream ended late in a planned stop, the connection was closed without an answer,
 // seconds after the request.
-TEST(stop_late, ARequestReadBehindAStreamIsAnswered)
+TEST(stop_late, ARequestPipelinedBehindAStreamIsAnswered)
 {
   Start();
-  kept_connection early(mBed.Callers());
-  kept_connection late(mBed.Callers());
-  fate first{ "first" };
-  fate second{ "second" };
+  persistent_connection early(mBed.Callers());
+  persistent_connection late(mBed.Callers());
+  request_outcome first{ "first" };
+  request_outcome second{ "second" };
   BeginStream(early, first, kLongEvents);
   BeginStream(late, second, kLongEvents);
   Stop();
-  fate sentEarly{ "sent-early" };
-  fate sentLate{ "sent-late" };
+  request_outcome sentEarly{ "sent-early" };
+  request_outcome sentLate{ "sent-late" };
   SleepUntil(mSignalAt + kEarlyMs);
   early.Send(StreamText(sentEarly.mId, kLongEvents), sentEarly);
   SleepUntil(mSignalAt + kLateMs);
@@ -296,27 +298,29 @@
   CheckEnd();
   CHECK_EQUAL(200U, first.mStatus);
   CHECK_EQUAL(200U, second.mStatus);
-  CHECK_EQUAL("", FaultOf(sentEarly) + FaultOf(sentLate));
+  CHECK_EQUAL("", UnexcusedFailure(sentEarly) + UnexcusedFailure(sentLate));
 }
 
 // A stream that began before the stop left its connection open. Its caller's next request came
 // between two closings of idle connections, seconds after connections were no longer taken, and was
 // cut by the end of the stop.
-TEST(stop_late, WhateverCallersSendUntilTheEndIsNotRunAndCut)
+TEST(stop_late, RequestsSentUntilTheProcessExitsAreNotRunAndCut)
 {
-  constexpr int kStreams = 9;       // They end from 2.9 s to 7 s after the signal.
-  constexpr int kFirstEvents = 30;  // Of the shortest.
-  constexpr int kEventsApart = 5;   // Between their lengths.
-  constexpr int kOthers = 4;        // Callers of short streams, and as many of plain requests.
-  constexpr std::size_t kLeast = 5; // Late requests on kept connections, or nothing was tried.
+  constexpr int kStreams = 9;      // They end from 2.9 s to 7 s after the signal.
+  constexpr int kFirstEvents = 30; // Of the shortest.
+  constexpr int kEventsApart = 5;  // Between their lengths.
+  constexpr int kOtherCallers = 4; // Callers of short streams, and as many of plain requests.
+  constexpr std::size_t kMinLateRequests =
+    5; // Late requests on kept connections, or nothing was tried.
   Start();
-  std::vector<std::vector<fate>> fates(kStreams + 2 * kOthers);
+  std::vector<std::vector<request_outcome>> outcomes(kStreams + 2 * kOtherCallers);
   std::vector<std::thread> callers;
-  for (int i = 0; i < kStreams + 2 * kOthers; ++i) {
-    const int other = i < kStreams + kOthers ? kShortEvents : 0;
+  for (int i = 0; i < kStreams + 2 * kOtherCallers; ++i) {
+    const int other = i < kStreams + kOtherCallers ? kShortEvents : 0;
     const int events = i < kStreams ? kFirstEvents + i * kEventsApart : other;
-    callers.emplace_back(
-      [this, i, events, &fates] { CallOnAndOn("c" + std::to_string(i), events, fates[i]); });
+    callers.emplace_back([this, i, events, &outcomes] {
+      SendUntilExit("c" + std::to_string(i), events, outcomes[i]);
+    });
   }
   const bool began = Eventually([&] {
     int running = 0;
@@ -328,36 +332,36 @@
   Stop();
   const int code = mBed.Daemon().WaitForExit();
   const std::int64_t end = SinceSignal();
-  mGone = true;
+  mProcessEnded = true;
   for (std::thread& caller : callers) {
     caller.join();
   }
   CHECK(began);
   CHECK_EQUAL(0, code);
   CHECK(end < kGraceMs);
-  std::size_t lateAndKept = 0;
+  std::size_t lateOnReused = 0;
   std::string faults;
-  for (const std::vector<fate>& ofOne : fates) {
-    for (const fate& one : ofOne) {
-      lateAndKept += one.mKept && one.mSentAt - mSignalAt > kSentLateMs ? 1 : 0;
-      faults += FaultOf(one);
+  for (const std::vector<request_outcome>& ofOne : outcomes) {
+    for (const request_outcome& one : ofOne) {
+      lateOnReused += one.mReusedConnection && one.mSentAt - mSignalAt > kSentLateMs ? 1 : 0;
+      faults += UnexcusedFailure(one);
     }
   }
   CHECK_EQUAL("", faults);
-  CHECK(lateAndKept >= kLeast);
+  CHECK(lateOnReused >= kMinLateRequests);
 }
 
 // A process that stood still got SIGTERM meanwhile and counted its stop from the moment at which it
 // ran again: it would have been killed before its own end.
-TEST(stop_late, AProcessThatStoodStillAtTheSignalEndsInTime)
+TEST(stop_late, AProcessStalledAtTheSignalExitsInTime)
 {
   Start();
-  kept_connection connection(mBed.Callers());
-  fate endless{ "endless" };
+  persistent_connection connection(mBed.Callers());
+  request_outcome endless{ "endless" };
   BeginStream(connection, endless, kEndlessEvents);
   mBed.Daemon().Signal(SIGSTOP);
   Stop();
-  SleepUntil(mSignalAt + kShortStillMs);
+  SleepUntil(mSignalAt + kShortStallMs);
   mBed.Daemon().Signal(SIGCONT);
   connection.Read(endless);
   CheckEnd();
@@ -368,15 +372,15 @@
 
 // The other way round: a stop that counts from before the standstill must not cut a stream too
 // early if the signal came at the end of it.
-TEST(stop_late, ASignalAtTheEndOfAStandstillCutsNothingEarly)
+TEST(stop_late, ASignalAtTheEndOfAStallCutsNothingEarly)
 {
   Start();
-  kept_connection connection(mBed.Callers());
-  fate endless{ "endless" };
+  persistent_connection connection(mBed.Callers());
+  request_outcome endless{ "endless" };
   BeginStream(connection, endless, kEndlessEvents);
-  const std::int64_t still = NowMs();
+  const std::int64_t stalledAt = NowMs();
   mBed.Daemon().Signal(SIGSTOP);
-  SleepUntil(still + kStillMs);
+  SleepUntil(stalledAt + kStallMs);
   Stop();
   mBed.Daemon().Signal(SIGCONT);
   connection.Read(endless);
@@ -387,23 +391,23 @@
 
 // A process that stood still got SIGTERM meanwhile, and took requests by its own count of time:
 // those were sent too late to be excused when the stop cut them.
-TEST(stop_late, AProcessThatStoodStillAtTheSignalTakesNothingLate)
+TEST(stop_late, AProcessStalledAtTheSignalAcceptsNothingLate)
 {
   Start();
-  kept_connection running(mBed.Callers()); // The process isn't gone before the late request.
-  fate before{ "before" };
+  persistent_connection running(mBed.Callers()); // The process isn't gone before the late request.
+  request_outcome before{ "before" };
   BeginStream(running, before, kLongEvents);
   mBed.Daemon().Signal(SIGSTOP);
   Stop();
-  SleepUntil(mSignalAt + kStillMs);
+  SleepUntil(mSignalAt + kStallMs);
   mBed.Daemon().Signal(SIGCONT);
   SleepUntil(mSignalAt + kLateMs);
-  kept_connection connection(mBed.Callers());
-  fate late{ "late" };
+  persistent_connection connection(mBed.Callers());
+  request_outcome late{ "late" };
   if (connection.Open()) {
     connection.Send(StreamText(late.mId, kLongEvents), late);
     connection.Read(late);
-    CHECK_EQUAL("", FaultOf(late));
+    CHECK_EQUAL("", UnexcusedFailure(late));
   }
   running.Read(before);
   CheckEnd();
@@ -412,23 +416,23 @@
 
 // A process stood still across the moment at which it stops taking requests. What had arrived by
 // the time it ran again was taken before the passing of that moment was noticed.
-TEST(stop_late, AProcessThatStoodStillInTheStopTakesNothingLate)
+TEST(stop_late, AProcessStalledDuringTheStopAcceptsNothingLate)
 {
   Start();
-  kept_connection connection(mBed.Callers());
-  fate before{ "before" };
-  kept_connection resting(mBed.Callers());
+  persistent_connection connection(mBed.Callers());
+  request_outcome before{ "before" };
+  persistent_connection resting(mBed.Callers());
   BeginStream(connection, before, kLongEvents);
   Stop();
-  SleepUntil(mSignalAt + kTakesMs - kJustMs);
+  SleepUntil(mSignalAt + kAcceptsMs - kMarginMs);
   mBed.Daemon().Signal(SIGSTOP);
-  kept_connection fresh(mBed.Callers());
+  persistent_connection fresh(mBed.Callers());
   SleepUntil(mSignalAt + kLateMs);
-  fate onResting{ "on-resting" };
-  fate onFresh{ "on-fresh" };
+  request_outcome onResting{ "on-resting" };
+  request_outcome onFresh{ "on-fresh" };
   resting.Send(StreamText(onResting.mId, kLongEvents), onResting);
   fresh.Send(StreamText(onFresh.mId, kLongEvents), onFresh);
-  SleepUntil(mSignalAt + kLateMs + kJustMs);
+  SleepUntil(mSignalAt + kLateMs + kMarginMs);
   mBed.Daemon().Signal(SIGCONT);
   auto reading = std::async(std::launch::async, [&] { resting.Read(onResting); });
   fresh.Read(onFresh);
@@ -436,7 +440,7 @@
   connection.Read(before);
   CheckEnd();
   CHECK_EQUAL(200U, before.mStatus);
-  CHECK_EQUAL("", FaultOf(onResting) + FaultOf(onFresh));
+  CHECK_EQUAL("", UnexcusedFailure(onResting) + UnexcusedFailure(onFresh));
 }
 
 // The head of a request came while requests were taken and its last bytes long after: it was run,
@@ -444,10 +448,10 @@
 TEST(stop_late, ARequestWhoseBodyEndsLateIsNotRunAndCut)
 {
   Start();
-  kept_connection connection(mBed.Callers());
+  persistent_connection connection(mBed.Callers());
   const std::string body = "a prompt in two parts";
   const std::size_t rest = body.size() / 2;
-  fate slow{ "slow" };
+  request_outcome slow{ "slow" };
   const std::string text = StreamText(slow.mId, kLongEvents, body);
   Stop();
   SleepUntil(mSignalAt + kEarlyMs);
@@ -456,7 +460,7 @@
   connection.Send(text.substr(text.size() - rest), slow);
   connection.Read(slow);
   CheckEnd();
-  CHECK_EQUAL("", FaultOf(slow));
+  CHECK_EQUAL("", UnexcusedFailure(slow));
 }
 
 // The first bytes of a request came while requests were taken and the end of its head long after:
@@ -464,27 +468,27 @@
 TEST(stop_late, ARequestWhoseHeadEndsLateIsNotRunAndCut)
 {
   Start();
-  kept_connection connection(mBed.Callers());
-  fate slow{ "slow" };
+  persistent_connection connection(mBed.Callers());
+  request_outcome slow{ "slow" };
   const std::string text = StreamText(slow.mId, kLongEvents);
   const std::size_t rest = text.size() / 2;
   Stop();
   // A head may take a second (`header-timeout-ms` of the bed).
-  SleepUntil(mSignalAt + kTakesMs - kJustMs);
+  SleepUntil(mSignalAt + kAcceptsMs - kMarginMs);
   connection.Send(text.substr(0, text.size() - rest));
-  SleepUntil(mSignalAt + kSentLateMs + kJustMs);
+  SleepUntil(mSignalAt + kSentLateMs + kMarginMs);
   connection.Send(text.substr(text.size() - rest), slow);
   connection.Read(slow);
   CheckEnd();
-  CHECK_EQUAL("", FaultOf(slow));
+  CHECK_EQUAL("", UnexcusedFailure(slow));
 }
 
 // Further signals in a stop neither begin it anew nor make it longer.
-TEST(stop_late, FurtherSignalsChangeNothing)
+TEST(stop_late, FurtherSignalsNeitherRestartNorExtendTheStop)
 {
   Start();
-  kept_connection connection(mBed.Callers());
-  fate endless{ "endless" };
+  persistent_connection connection(mBed.Callers());
+  request_outcome endless{ "endless" };
   BeginStream(connection, endless, kEndlessEvents);
   Stop();
   for (const int signal : { SIGTERM, SIGHUP, SIGTERM }) {
@@ -492,7 +496,7 @@
     mBed.Daemon().Signal(signal);
   }
   SleepUntil(mSignalAt + kLateMs);
-  kept_connection late(mBed.Callers());
+  persistent_connection late(mBed.Callers());
   CHECK_FALSE(late.Open());
   connection.Read(endless);
   CheckEnd();
--- a/tests/platform/waiting_test.cpp
+++ b/tests/platform/waiting_test.cpp
@@ -18,7 +18,7 @@
 /** Engines have no room for so long: longer than a new caller may wait for a place; ms. */
 constexpr int kFullForMs = 800;
 /** Engines of a full service have room for fewer tokens than any prompt has. */
-constexpr int kNoRoom = 10;
+constexpr int kTooFewTokens = 10;
 
 } // namespace
 
@@ -43,7 +43,7 @@
     options.mHall = aHall;
     return options;
   }
-  void SetRoom(int aTokens)
+  void SetFreeTokens(int aTokens)
   {
     mBed.SetRunner("decode-1", { { "free", aTokens } });
     mBed.SetRunner("decode-2", { { "free", aTokens } });
@@ -53,7 +53,7 @@
 };
 
 // An engine that has gone dark is asked for a place and says nothing. The others have room.
-TEST(waiting, ASilentEngineCostsANewCallerNoRefusal)
+TEST(waiting, ASilentEngineDoesNotGetANewCallerRefused)
 {
   StartWith(Decode("hall-a"), Decode("hall-b")); // The one in the daemon's hall is asked first.
   mBed.SetProxy("decode-1", { { "stall", 1 } });
@@ -65,10 +65,10 @@
 
 // A caller whose stream broke comes back for the rest: it's late already, so it waits as one that
 // was refused does, instead of being refused with the engines full for a moment.
-TEST(waiting, WhoAsksForTheRestOfAStreamWaitsAsOneThatHasComeBack)
+TEST(waiting, AResumedStreamWaitsAsLongAsARetriedRequest)
 {
   StartWith(Decode("hall-a"), Decode("hall-a"));
-  SetRoom(kNoRoom);
+  SetFreeTokens(kTooFewTokens);
   auto asking = std::async(std::launch::async, [&] {
     return Call(mBed.Callers(),
                 "POST",
@@ -77,7 +77,7 @@
                 GenerationHeaders("g1", 2000, 10, { { "Last-Event-Id", "4" } }));
   });
   std::this_thread::sleep_for(std::chrono::milliseconds(kFullForMs));
-  SetRoom(1000000);
+  SetFreeTokens(1000000);
   const answer got = asking.get();
   CHECK_EQUAL(200U, got.mStatus);
   CHECK(mBed.Daemon().WaitForLine("\"returned\":true") != "");
@@ -87,7 +87,7 @@
 TEST(waiting, ANewCallerIsRefusedWhileTheEnginesAreFull)
 {
   StartWith(Decode("hall-a"), Decode("hall-a"));
-  SetRoom(kNoRoom);
+  SetFreeTokens(kTooFewTokens);
   const std::int64_t began = NowMs();
   const answer got =
     Call(mBed.Callers(), "POST", "/resumed/a", "prompt", GenerationHeaders("g1", 2000, 10));
--- a/tests/unit/forward_test.cpp
+++ b/tests/unit/forward_test.cpp
@@ -97,14 +97,14 @@
   }
 };
 
-TEST(runners, AnOlderListingChangesNothing)
+TEST(runners, AnOlderListingIsIgnored)
 {
   mTable.Apply(Listing(10, { Entry("a"), Entry("b") }), kNow, false);
   mTable.Apply(Listing(9, { Entry("a") }), kNow, false);
   CHECK_EQUAL(2U, mTable.Rows().size());
 }
 
-TEST(runners, ALeavingRunnerGetsNoWorkAndDoesNotComeBack)
+TEST(runners, ALeavingRunnerGetsNoWorkEvenIfALaterListingOmitsTheLeave)
 {
   runner_entry leaving = Entry("a");
   leaving.mLeaving = true;
@@ -114,7 +114,7 @@
   CHECK(Pick() == nullptr);
 }
 
-TEST(runners, OneThatSaidItselfThatItLeavesGetsNoWorkWhateverTheListSays)
+TEST(runners, ARunnerThatAnnouncedItsLeaveGetsNoWorkWhateverTheListSays)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   CHECK_TRUE(mTable.NoteLeaves(RunnerIdOf("a")));
@@ -127,7 +127,7 @@
   CHECK_FALSE(mTable.HasRunner("desk"));
 }
 
-TEST(runners, OneThatLeftIsRememberedAfterItsRowHasGone)
+TEST(runners, AnAnnouncedLeaveIsRememberedAfterTheRowIsRemoved)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.NoteLeaves(RunnerIdOf("a"));
@@ -138,7 +138,7 @@
   CHECK(Pick() == nullptr);
 }
 
-TEST(runners, OneThatWantsNothingIsLeftAloneUntilThenAndNoLonger)
+TEST(runners, ABackingOffRunnerGetsNoWorkUntilItsBackoffEnds)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.NoteQuiet(RunnerIdOf("a"), kNow + 3s);
@@ -151,14 +151,14 @@
   CHECK(mTable.Barred(kNow + 3s).empty());
 }
 
-TEST(runners, WhatOneTellsADaemonConcernsNoOtherDaemonsChoice)
+TEST(runners, ABackoffToldToOneDaemonDoesNotAffectOtherDaemons)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.NoteQuiet(RunnerIdOf("a"), kNow + 3s);
   CHECK_TRUE(mTable.TakesWork(*mTable.Find(RunnerIdOf("a")), kNow));
 }
 
-TEST(runners, ALifeThatBeginsAnewHasNothingOfTheFormerOne)
+TEST(runners, ARestartedRunnerInheritsNoStateOfItsFormerIncarnation)
 {
   mTable.Apply(Listing(1, { Entry("a", 100) }), kNow, false);
   const service_runner_id former = RunnerIdOf("a", 100);
@@ -176,7 +176,7 @@
   CHECK(mTable.FindNamed("a") == now);
 }
 
-TEST(runners, WhatComesLateOfAFormerLifeChangesNothing)
+TEST(runners, LateNewsOfAFormerIncarnationIsIgnored)
 {
   mTable.Apply(Listing(1, { Entry("a", 100) }), kNow, false);
   mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, false);
@@ -189,7 +189,7 @@
   CHECK(Pick() != nullptr && Pick()->mEntry.mBorn == 200);
 }
 
-TEST(runners, AnEntryOfAFormerLifeIsNotFollowedAfterTheNewestHasGone)
+TEST(runners, AnEntryOfAFormerIncarnationIsIgnoredAfterTheNewestIsRemoved)
 {
   mTable.Apply(Listing(1, { Entry("a", 100) }), kNow, false);
   mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, false);
@@ -200,7 +200,7 @@
   CHECK(Pick() == nullptr);
 }
 
-TEST(runners, WhatIsOfAnEarlierEraChangesNothing)
+TEST(runners, ListingsAndChangesOfAnEarlierStoreEraAreIgnored)
 {
   mTable.Apply(Listing(5, { Entry("a") }, 2), kNow, false);
   mTable.Apply(Listing(90, {}, 1), kNow, false);
@@ -212,7 +212,7 @@
   LONGS_EQUAL(0, mTable.ApplyChanges(changes, kNow, false).size());
 }
 
-TEST(runners, OneThatAnOlderCopyLacksIsKeptUntilItsWriterHasHadTime)
+TEST(runners, ARunnerMissingAfterAStoreRollbackIsKeptUntilItCanRegisterAgain)
 {
   mTable.Apply(Listing(90, { Entry("a") }, 1), kNow, false);
   mTable.Apply(Listing(5, {}, 2), kNow, false); // Offsets are lower in the new era.
@@ -222,7 +222,7 @@
   CHECK(Pick(kNow + 2600ms) == nullptr);
 }
 
-TEST(runners, OneThatAnotherTellsAnOlderCopyLacksIsKeptAsWell)
+TEST(runners, ARunnerReportedMissingAfterAStoreRollbackIsKeptAsWell)
 {
   mTable.Apply(Listing(90, { Entry("a") }, 1), kNow, false);
   runner_changes changes;
@@ -236,7 +236,7 @@
   CHECK(Pick(kNow + 2600ms) == nullptr);
 }
 
-TEST(runners, OneThatIsGoneDoesNotComeBackWithAnOlderCopy)
+TEST(runners, ARemovedRunnerDoesNotReturnWithAStoreRollback)
 {
   mTable.Apply(Listing(90, { Entry("a"), Entry("b") }, 1), kNow, false);
   mTable.Apply(Listing(91, { Entry("b") }, 1), kNow, false);
@@ -249,7 +249,7 @@
   LONGS_EQUAL(1, mTable.Rows().size());
 }
 
-TEST(runners, AnEntryOfAnOlderCopyIsTakenInIfItStays)
+TEST(runners, AnEntryOfARolledBackStoreIsAdoptedIfItPersists)
 {
   runner_entry moved = Entry("a");
   moved.mAddress.mPort = 2;
@@ -262,7 +262,7 @@
   CHECK_EQUAL(1, Pick(kNow + 2600ms)->mEntry.mAddress.mPort);
 }
 
-TEST(runners, ALeaveInAnOlderCopyCountsAtOnce)
+TEST(runners, ALeaveInARolledBackStoreCountsAtOnce)
 {
   mTable.Apply(Listing(90, { Entry("a") }, 1), kNow, false);
   runner_entry leaving = Entry("a");
@@ -271,7 +271,7 @@
   CHECK(Pick() == nullptr);
 }
 
-TEST(runners, TwoLivesWithinAHeartbeatLeaveTheLast)
+TEST(runners, TwoRestartsWithinAHeartbeatKeepTheNewestIncarnation)
 {
   mTable.Apply(Listing(1, { Entry("a", 100) }), kNow, false);
   mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, false);
@@ -281,7 +281,7 @@
   LONGS_EQUAL(1, mTable.Rows().size());
 }
 
-TEST(runners, AnEntryThatLapsedWithTheStoreIsKeptForAWhile)
+TEST(runners, AnEntryThatExpiredDuringAStoreOutageIsKeptForAWhile)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.Apply(Listing(2, {}), kNow, true);
@@ -290,14 +290,14 @@
   CHECK(Pick(kNow + 2600ms) == nullptr);
 }
 
-TEST(runners, AnEntryThatIsGoneWithTheStoreWellEndsAtOnce)
+TEST(runners, AnEntryRemovedWhileTheStoreWorksEndsAtOnce)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.Apply(Listing(2, {}), kNow, false);
   CHECK(Pick() == nullptr);
 }
 
-TEST(runners, ALapsedEntryThatReturnsTakesWorkAgain)
+TEST(runners, AnExpiredEntryThatReturnsTakesWorkAgain)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   runner_state* const state = mTable.Find(RunnerIdOf("a"));
@@ -307,7 +307,7 @@
   CHECK(Pick() != nullptr);
 }
 
-TEST(runners, AReadingWithoutChangesKeepsAllRunners)
+TEST(runners, AnUnchangedListingKeepsAllRunners)
 {
   mTable.Apply(Listing(5, { Entry("a") }), kNow, false);
   runner_listing same;
@@ -318,7 +318,7 @@
   CHECK(Pick(kNow + 1s) != nullptr);
 }
 
-TEST(runners, ChangesThatAnotherReadApplyBetweenTheirPositionsOnly)
+TEST(runners, ChangesFromAnotherDaemonApplyOnlyFromAPositionAlreadyReached)
 {
   mTable.Apply(Listing(10, { Entry("r1"), Entry("r2") }), 1s, false);
   runner_changes changes;
@@ -340,7 +340,7 @@
   LONGS_EQUAL(12, mTable.End().mOffset);
 }
 
-TEST(runners, ARunnerThatAnotherReadAsLeavingNeverComesBack)
+TEST(runners, ARunnerAnotherDaemonSawLeavingNeverReturns)
 {
   mTable.Apply(Listing(10, { Entry("r1") }), 1s, false);
   runner_changes changes;
@@ -354,7 +354,7 @@
   CHECK_FALSE(mTable.TakesWork(*mTable.Find(RunnerIdOf("r1")), 3s));
 }
 
-TEST(runners, AMisdirectedEntryIsLeftAloneUntilItChanges)
+TEST(runners, AMisdirectedEntryGetsNoWorkUntilItChanges)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.NoteOutcome(RunnerIdOf("a"), send_outcome::eMisdirected, kNow);
@@ -376,7 +376,7 @@
   CHECK(Pick(kNow + 6s) != nullptr);
 }
 
-TEST(runners, RefusalsInARowOfAnEngineRestLongerAndAnAnswerEndsThat)
+TEST(runners, RepeatedRefusalsOfAnEngineBackOffLongerUntilItServesAgain)
 {
   runner_entry engine = Entry("a");
   engine.mRole = engine_role::eDecode;
@@ -394,7 +394,7 @@
   CHECK(Pick(kNow + 540ms) != nullptr);
 }
 
-TEST(runners, APlainRunnerThatIsFullRestsForAMomentOnly)
+TEST(runners, AFullPlainRunnerBacksOffBriefly)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   for (int i = 0; i < 6; ++i) {
@@ -405,7 +405,7 @@
   CHECK(mTable.HasRunner("desk"));
 }
 
-TEST(runners, OneThatFailsOftenIsChosenLess)
+TEST(runners, AnOftenFailingRunnerIsChosenLess)
 {
   mTable.Apply(Listing(1, { Entry("a"), Entry("b") }), kNow, false);
   for (int i = 0; i < 20; ++i) {
@@ -417,7 +417,7 @@
   CHECK(Pick()->mEntry.mName == "b");
 }
 
-TEST(runners, AFailureShareThatAllHaveDoesNotCount)
+TEST(runners, AFailureRateSharedByAllRunnersDoesNotCount)
 {
   mTable.Apply(Listing(1, { Entry("a"), Entry("b") }), kNow, false);
   for (int i = 0; i < 20; ++i) {
@@ -430,7 +430,7 @@
 
 TEST_GROUP(budget){};
 
-TEST(budget, ADaemonKeepsToItsShare)
+TEST(budget, ADaemonStaysWithinItsShareOfTheRetryBudget)
 {
   const retry_limits limits{ 0.2, 10s, 80.0 };
   retry_budget budget(limits, 8.0);
@@ -446,7 +446,7 @@
   CHECK(taken >= 100);
 }
 
-TEST(budget, MoreDaemonsThatAreHeardLeaveASmallerPart)
+TEST(budget, MoreKnownDaemonsLeaveASmallerShareOfTheBudget)
 {
   const retry_limits limits{ 0.0, 10s, 800.0 };
   retry_budget budget(limits, 8.0);
@@ -458,7 +458,7 @@
   CHECK(taken <= 5); // Half of an eightieth of the allowance at once.
 }
 
-TEST(budget, APlacementAnewCountsForBothOfItsSends)
+TEST(budget, ANewPlacementIsChargedForBothOfItsSends)
 {
   const retry_limits limits{ 0.0, 10s, 80.0 };
   retry_budget budget(limits, 8.0);
@@ -473,7 +473,7 @@
 
 TEST_GROUP(connections){};
 
-TEST(connections, AllDaemonsTogetherKeepToWhatARunnerTakes)
+TEST(connections, AllDaemonsTogetherStayWithinARunnersConnectionLimit)
 {
   for (const std::size_t daemons : { 1U, 8U, 24U, 85U }) {
     CHECK(MostIdleConnections(110, daemons) * daemons <= 110);
@@ -486,13 +486,13 @@
 
 TEST_GROUP(events){};
 
-TEST(events, OnlyWholeEventsPass)
+TEST(events, OnlyCompleteEventsAreReturned)
 {
   event_splitter splitter;
   CHECK_EQUAL("", splitter.Feed("id: 1\nda"));
   CHECK_EQUAL("id: 1\ndata: x\n\n", splitter.Feed("ta: x\n\nid: 2\n"));
   CHECK_EQUAL(1U, *splitter.LastId());
-  splitter.DropRest();
+  splitter.DropPartialEvent();
   CHECK_EQUAL("id: 2\ndata: y\n\n", splitter.Feed("id: 2\ndata: y\n\n"));
   CHECK_EQUAL(2U, splitter.Count());
 }
@@ -506,7 +506,7 @@
 
 TEST_GROUP(run_messages){};
 
-TEST(run_messages, AgesTravelInsteadOfInstants)
+TEST(run_messages, InstantsAreEncodedAsAges)
 {
   run_message message;
   message.mDaemon = 9;
@@ -549,14 +549,14 @@
   CHECK(*read == message);
 }
 
-TEST(run_messages, BytesThatAreNoMessageAreNothing)
+TEST(run_messages, MalformedBytesDecodeToNothing)
 {
   CHECK_FALSE(DecodeRunMessage("no message", kNow).has_value());
   CHECK_FALSE(DecodeRunMessage("", kNow).has_value());
 }
 
 // Daemons' ports aren't protected: whatever comes there must end no daemon.
-TEST(run_messages, NestingWithoutEndIsNothing)
+TEST(run_messages, DeeplyNestedBytesDecodeToNothing)
 {
   for (const std::size_t depth : { 20U, 1000U, 65000U }) {
     const std::string nested(depth, '\x81'); // Each is an array of one.
