--- a/src/forward/gateway.h
+++ b/src/forward/gateway.h
@@ -61,7 +61,7 @@
       mListener->State().mLimits = aLimits;
     })
   {
-    mState.mTell = [this](run_message aMessage) { mLink.Tell(std::move(aMessage)); };
+    mState.mTellDaemons = [this](run_message aMessage) { mLink.Tell(std::move(aMessage)); };
     mState.mTellPlacers = [this](run_message aMessage) { mPlacers.Tell(std::move(aMessage)); };
     mState.mReportCrash = [this](const crash_report& aReport) {
       mQuarantines.Link().NoteCrash(aReport);
@@ -102,8 +102,8 @@
     // The signal came between the two instants. Requests are taken as if it came first; nothing is
     // cut before the last part of the limit even if it came last.
     const duration limit = mState.mSettings.mStopLimit;
-    mState.mStopBy = std::max(since + limit - kStopMargin,
-                              now + limit - limit / kStopCutDivisor + kStopPollInterval);
+    mState.mStopDeadline = std::max(since + limit - kStopMargin,
+                                    now + limit - limit / kStopCutDivisor + kStopPollInterval);
     mListener->State().mClosing = true;
     mListener->State().mAcceptUntil = since + kBalancerRemovalDelay + 2 * kStopPollInterval;
     SpawnGuarded(mState.mIo, FinishStop(since));
@@ -177,7 +177,7 @@
     values["config_version"] =
       mState.mRoutes ? static_cast<double>(mState.mRoutes->Config().mVersion) : 0.0;
     values["config_age_seconds"] = ToSeconds(now - mFollower.Config().InForceSince());
-    values["runners_age_seconds"] = ToSeconds(now - mState.mListedAt);
+    values["runners_age_seconds"] = ToSeconds(now - mState.mRunnersReadAt);
     values["store_bytes_in"] = static_cast<double>(mStore.BytesIn());
     values["config_read_seconds"] = ToSeconds(mFollower.Config().ReadingFor());
     values["runner_entries_unreadable"] = static_cast<double>(mStore.UnreadableEntries());
@@ -243,7 +243,7 @@
       co_await Refuse<Wire>(*aExchange, facts.mId, 404, duration{ 0 }, "no_route");
       co_return;
     }
-    const forward_service* const service = routes->PickService(*route, mState.Draw());
+    const forward_service* const service = routes->PickService(*route, mState.RandomFraction());
     if (service == nullptr) {
       co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStartingRetryAfter, "no_service");
       co_return;
@@ -342,7 +342,7 @@
    */
   asio::awaitable<void> FinishStop(instant aSince)
   {
-    while (mState.Now() < mState.mStopBy) {
+    while (mState.Now() < mState.mStopDeadline) {
       co_await Sleep(kStopPollInterval);
       if (mState.Now() - aSince < kBalancerRemovalDelay) {
         continue;
--- a/src/forward/generation_call.h
+++ b/src/forward/generation_call.h
@@ -405,7 +405,7 @@
                          { "began_ms", (mState.Now() - mRunStartedAt).count() / 1000 },
                          { "fingerprint", mCrashWatch.Fingerprint().mValue },
                          { "caller", mExchange->CallerAddress() } });
-    mState.mMetrics.CountBroken(mRoute.mName);
+    mState.mMetrics.CountBrokenAnswer(mRoute.mName);
     const bool mayGoOn = mRoute.mResumable && mSends < mRoute.mMaxRunners &&
                          TimeLeft() > mRoute.mFirstAnswer && !mExchange->Disconnected();
     if (mayGoOn && TakeReplacementBudget(kSendsPerPlacement)) {
@@ -448,7 +448,7 @@
     if (mMayHaveRun) {
       status = TimeLeft() <= duration{ 0 } ? 504 : 502;
     }
-    const duration back = ComeBackIn(mPlace.FreeIn(), mState.Draw());
+    const duration back = ComeBackIn(mPlace.FreeIn(), mState.RandomFraction());
     mState.mMetrics.CountRequest(mRoute.mName, status == 503 ? "refused" : "failed", aReason);
     mState.LogDecision(log_level::eWarning,
                        "generation_given_up",
@@ -501,7 +501,7 @@
 
   void NoteFirstEvent(instant aNow)
   {
-    mState.mMetrics.ObserveFirst(mRoute.mName, ToSeconds(aNow - mArrived));
+    mState.mMetrics.ObserveFirstAnswer(mRoute.mName, ToSeconds(aNow - mArrived));
     mState.LogDecision(log_level::eInfo,
                        "generation_started",
                        mFacts.mId,
@@ -521,7 +521,7 @@
   {
     mCrashWatch.ReportServed();
     mState.mMetrics.CountRequest(mRoute.mName, "served", "");
-    mState.mMetrics.ObserveGap(mRoute.mName, ToSeconds(mLongestGap));
+    mState.mMetrics.ObserveLongestGap(mRoute.mName, ToSeconds(mLongestGap));
     mState.LogDecision(log_level::eInfo,
                        "generation_served",
                        mFacts.mId,
--- a/src/forward/plain_call.h
+++ b/src/forward/plain_call.h
@@ -90,7 +90,7 @@
       co_return false;
     }
     runner_state* const runner =
-      mState.mRunners.Choose(mService.mName, mTriedRunners, mState.Now(), mState.Draw());
+      mState.mRunners.Choose(mService.mName, mTriedRunners, mState.Now(), mState.RandomFraction());
     const duration waited = mState.Now() - mArrived;
     const bool mayWait = mAttempts == 0 && waited < MaxRunnerWait();
     if (runner == nullptr && mayWait && RunnerWillAcceptSoon()) {
@@ -202,7 +202,7 @@
                          { "sends", mSends },
                          { "fingerprint", mCrashWatch.Fingerprint().mValue },
                          { "caller", mExchange->CallerAddress() } });
-    mState.mMetrics.CountBroken(mRoute.mName);
+    mState.mMetrics.CountBrokenAnswer(mRoute.mName);
     mMayHaveRun = true;
     if (MayRetry() && TakeRetryBudget()) {
       co_return true;
@@ -236,7 +236,7 @@
   {
     const bool good = aStatus < 500;
     const duration took = mState.Now() - mArrived;
-    mState.mMetrics.ObserveFirst(mRoute.mName, ToSeconds(took));
+    mState.mMetrics.ObserveFirstAnswer(mRoute.mName, ToSeconds(took));
     mState.LogDecision(good ? log_level::eInfo : log_level::eWarning,
                        "request_answered",
                        mFacts.mId,
@@ -315,7 +315,7 @@
   /** @return when the caller of a request that found no runner shall come back. */
   duration RetryAfter()
   {
-    const double spread = 0.5 + mState.Draw();
+    const double spread = 0.5 + mState.RandomFraction();
     const duration back = FromSeconds(ToSeconds(kPlainRetryAfter) * spread);
     if (!mState.mRunners.HasRunner(mService.mName)) {
       return back;
--- a/src/links/daemon_link.cpp
+++ b/src/links/daemon_link.cpp
@@ -130,7 +130,8 @@
     return std::nullopt;
   }
   auto chosen = mMembers.Others().begin();
-  std::advance(chosen, static_cast<std::size_t>(mState.Draw() * static_cast<double>(count)));
+  std::advance(chosen,
+               static_cast<std::size_t>(mState.RandomFraction() * static_cast<double>(count)));
   return RunsAt(chosen->second.mInfo.mAddress);
 }
 
@@ -195,19 +196,19 @@
   if (aMessage.mRunners) {
     const runner_changes& changes = *aMessage.mRunners;
     if (changes.mFrom <= mState.mRunners.End()) {
-      mState.NoteEra(changes.mTo.mEra);
+      mState.LogStoreRollback(changes.mTo.mEra);
     }
-    mState.NoteRunnersChanged(
-      mState.mRunners.ApplyChanges(changes, aNow, changes.mAway || mState.mStoreAway));
+    mState.NoteRunnersChanged(mState.mRunners.ApplyChanges(
+      changes, aNow, changes.mAway || mState.mStoreRecentlyUnavailable));
   }
   // Daemons that read the store aren't equally far: one that is behind takes back nothing that
   // another has told, nor does it stand for a read.
-  store_position& told = mState.mToldStore;
+  store_position& told = mState.mPeerStorePosition;
   const bool older = position.mRunners < told.mRunners || position.mConfig < told.mConfig;
   told.mRunners = std::max(told.mRunners, position.mRunners);
   told.mConfig = std::max(told.mConfig, position.mConfig);
   if (!older) {
-    mState.mToldStoreAt = aNow;
+    mState.mPeerStorePositionAt = aNow;
   }
 }
 
@@ -221,7 +222,7 @@
     NoteTold(aMessage, aNow);
   }
   if (aMessage.mStoreSilent) {
-    mState.mToldSilentAt = aNow;
+    mState.mPeerStoreSilentAt = aNow;
   }
   if (aMessage.mDigest) {
     mState.mPlacement.ReplaceRuns(aMessage.mDaemon, aMessage.mBegun, aNow);
--- a/src/links/quarantine_link.cpp
+++ b/src/links/quarantine_link.cpp
@@ -118,7 +118,7 @@
       question.mAsksAlways = !mKnows;
       mLink.TellOne(std::move(message), *other);
     }
-    const double spread = 0.5 + mState.Draw();
+    const double spread = 0.5 + mState.RandomFraction();
     const duration every = mKnows ? kCompareEvery : kCompareAtStart;
     co_await Sleep(FromSeconds(ToSeconds(every) * spread));
   }
--- a/src/links/quarantine_store.h
+++ b/src/links/quarantine_store.h
@@ -62,7 +62,7 @@
   /** Learns what was in quarantine before this daemon's start. */
   asio::awaitable<void> Read()
   {
-    co_await Sleep(kAsksOthersFor + FromSeconds(ToSeconds(kReadSpread) * mState.Draw()));
+    co_await Sleep(kAsksOthersFor + FromSeconds(ToSeconds(kReadSpread) * mState.RandomFraction()));
     while (!mLink.Knows()) {
       const result<std::vector<quarantine_record>> read = co_await mStore.ReadQuarantines();
       if (read) {
--- a/src/links/store_contact.h
+++ b/src/links/store_contact.h
@@ -73,7 +73,7 @@
   /** @return the newest version that any daemon has told of. */
   std::uint64_t NewestTold() const
   {
-    return std::max(mState.mToldStore.mConfig, mLink.Members().HighestNext());
+    return std::max(mState.mPeerStorePosition.mConfig, mLink.Members().HighestNext());
   }
   /** @return whether another daemon has a newer configuration than this one. */
   bool Behind() const { return mState.mRoutes && NewestTold() > mState.mRoutes->Config().mVersion; }
@@ -81,7 +81,7 @@
   bool ReadsRunners()
   {
     const instant now = mState.Now();
-    const bool behind = mState.mToldStore.mRunners > mState.mRunners.End();
+    const bool behind = mState.mPeerStorePosition.mRunners > mState.mRunners.End();
     mBehindSince = !behind ? instant{ 0 } : mBehindSince == instant{ 0 } ? now : mBehindSince;
     if (Known() && TakesOver() && mLink.RankInHall() < kAskers) {
       mReadsOnUntil = now + kReadsOnFor;
@@ -117,8 +117,9 @@
     mRunnersFail = false;
     mRunnersKnown = mRunnersKnown || !mState.mRunners.Rows().empty();
     mRunnersAnsweredAt = now;
-    mState.mListedAt = now;
-    mState.mToldStore.mRunners = std::min(mState.mToldStore.mRunners, mState.mRunners.End());
+    mState.mRunnersReadAt = now;
+    mState.mPeerStorePosition.mRunners =
+      std::min(mState.mPeerStorePosition.mRunners, mState.mRunners.End());
     if (aFrom != mChangesTo) {
       // Another daemon told what lies between: it isn't among the changes kept here, and who
       // applied these would pass it over.
@@ -143,14 +144,14 @@
   void NoteWentBack()
   {
     mAwayAt = mState.Now();
-    mState.mStoreAway = true;
+    mState.mStoreRecentlyUnavailable = true;
   }
   /** Notes that a read of the runners failed, and tells the others if this daemon asks for them. */
   void NoteNoRunners()
   {
     mRunnersFail = true;
     mReadsOnUntil = instant{ 0 };
-    const double spread = 0.5 + mState.Draw();
+    const double spread = 0.5 + mState.RandomFraction();
     mProbeAt = mState.Now() + FromSeconds(ToSeconds(kProbeEvery) * spread);
     if (Known() && mLink.RankInHall() < kAskers) {
       run_message message;
@@ -161,7 +162,7 @@
   /** Notes the version that a read of the newest configuration gave. */
   void NoteConfig(std::uint64_t aVersion)
   {
-    mState.mToldStore.mConfig = std::min(mState.mToldStore.mConfig, aVersion);
+    mState.mPeerStorePosition.mConfig = std::min(mState.mPeerStorePosition.mConfig, aVersion);
   }
   /** Tells the others how far the store is and what changed of the runners, if this daemon asks it
    * for them. */
@@ -178,7 +179,7 @@
   /** Call it some times a second. */
   void Tick()
   {
-    mState.mStoreAway = WasAway();
+    mState.mStoreRecentlyUnavailable = WasAway();
     if (mKnownSince == instant{ 0 } && Known()) {
       mKnownSince = mState.Now();
     }
@@ -189,7 +190,7 @@
   bool TakesOver() const
   {
     const instant now = mState.Now();
-    const duration quiet = now - std::max(mState.mToldStoreAt, mKnownSince);
+    const duration quiet = now - std::max(mState.mPeerStorePositionAt, mKnownSince);
     if (quiet < kToldFor) {
       return false;
     }
@@ -197,7 +198,7 @@
     if (rank == 0) {
       return false;
     }
-    if (rank >= kAskers && now - mState.mToldSilentAt < kToldFor) {
+    if (rank >= kAskers && now - mState.mPeerStoreSilentAt < kToldFor) {
       return now >= mProbeAt;
     }
     return quiet >= kToldFor + kAskerStep * static_cast<std::int64_t>(std::min(rank, kAskers));
--- a/src/links/store_follower.h
+++ b/src/links/store_follower.h
@@ -66,7 +66,7 @@
   asio::awaitable<void> FollowRunnersOnce()
   {
     if (!mContact.ReadsRunners()) {
-      mState.mListedAt = mState.mToldStoreAt;
+      mState.mRunnersReadAt = mState.mPeerStorePositionAt;
       co_await Sleep(kLookAtTold);
       co_return;
     }
@@ -81,7 +81,7 @@
       mRest = kFirstStoreRest;
       mConfig.EndCall(); // It may have been begun while the store was away: its answer is lost.
     }
-    if (mState.NoteEra(listing.value().mEnd.mEra)) {
+    if (mState.LogStoreRollback(listing.value().mEnd.mEra)) {
       mContact.NoteWentBack();
       mConfig.EndWait(); // It waits at an offset that is given out again.
     }
--- a/src/roles/role_controller.h
+++ b/src/roles/role_controller.h
@@ -148,7 +148,7 @@
       mState.mRunners.NoteChanging(aChange.mRunner, mState.Now() + kLongestChange);
       run_message message;
       message.mOrdered.push_back(aChange.mRunner);
-      mState.mTell(std::move(message));
+      mState.mTellDaemons(std::move(message));
     }
     if (status == 412) {
       mTerm = 0; // A later term has given orders.
--- a/src/state/forward_state.h
+++ b/src/state/forward_state.h
@@ -23,7 +23,7 @@
 
 /** Asks a daemon that places. The second argument tells whether the caller has left; no answer
  * means that this daemon decides by itself. */
-using place_asker =
+using ask_placer_callback =
   std::function<asio::awaitable<std::optional<place_reply>>(place_question, std::function<bool()>)>;
 
 /** The shared state. */
@@ -43,11 +43,11 @@
 
   instant Now() const { return boot_clock_source{}.Now(); }
   /** @return a random number from 0 up to 1. */
-  double Draw() { return std::uniform_real_distribution<double>(0.0, 1.0)(mRandom); }
+  double RandomFraction() { return std::uniform_real_distribution<double>(0.0, 1.0)(mRandom); }
   /** @return this daemon's budget of repeats for a service. */
   retry_budget& BudgetOf(const std::string& aService)
   {
-    const auto daemons = static_cast<double>(mMostDaemons);
+    const auto daemons = static_cast<double>(mMaxDaemonsHeard);
     return mBudgets.try_emplace(aService, mSettings.mRetries, daemons).first->second;
   }
 
@@ -63,7 +63,7 @@
     aFields["request"] = aRequest;
     aFields["config"] = mRoutes ? mRoutes->Config().mVersion : 0;
     aFields["runners_at"] = mRunners.End().mOffset;
-    aFields["runners_age_ms"] = (Now() - mListedAt).count() / 1000;
+    aFields["runners_age_ms"] = (Now() - mRunnersReadAt).count() / 1000;
     LogEvent(aLevel, aEvent, std::move(aFields));
   }
 
@@ -114,7 +114,7 @@
       NoteRunnersChanged({ aRunner });
       run_message message;
       message.mLeaving.push_back(aRunner);
-      mTell(std::move(message));
+      mTellDaemons(std::move(message));
     }
   }
 
@@ -127,7 +127,7 @@
 
   /** Writes a line if the runners' list is about to be that of a store that came back from an older
    * copy. @param aEra of the list. @return whether it is. */
-  bool NoteEra(std::uint64_t aEra) const
+  bool LogStoreRollback(std::uint64_t aEra) const
   {
     const store_mark& known = mRunners.End();
     if (known == store_mark{} || aEra <= known.mEra) {
@@ -178,44 +178,44 @@
   void NoteDaemons(std::size_t aHeard)
   {
     mDaemons = aHeard;
-    if (aHeard > mMostDaemons) {
-      mMostDaemons = aHeard;
+    if (aHeard > mMaxDaemonsHeard) {
+      mMaxDaemonsHeard = aHeard;
       for (auto& [service, budget] : mBudgets) {
-        budget.SetDaemons(static_cast<double>(mMostDaemons));
+        budget.SetDaemons(static_cast<double>(mMaxDaemonsHeard));
       }
     }
   }
 
   /** The allowance is split among at least so many: a daemon that starts hears nobody yet. */
-  static constexpr std::size_t kFewestDaemons = 8;
-
-  asio::io_context& mIo;                         ///< Runs everything.
-  gateway_settings mSettings;                    ///< From the settings source.
-  std::shared_ptr<const route_table> mRoutes;    ///< Null until a configuration is known.
-  runner_table mRunners;                         ///< All runners.
-  refused_table mRefused;                        ///< Prompts refused by any daemon.
-  placement_table mPlacement;                    ///< All generations.
-  placement_queue mPlaceQueue;                   ///< Places for all daemons, if this one is asked.
-  crash_ledger mCrashes;                         ///< Requests that crash runners.
-  gateway_metrics mMetrics;                      ///< Counters and histograms.
-  instant mListedAt{ 0 };                        ///< When the runners were last read, or told.
-  upstream_pool mPool;                           ///< Connections to runners, for requests.
-  http_pool mSideCalls;                          ///< Connections to runners, for side calls.
-  std::map<std::string, retry_budget> mBudgets;  ///< By service.
-  std::mt19937_64 mRandom;                       ///< Spreads choices and times.
-  store_position mToldStore;                     ///< Newest that another daemon told.
-  instant mToldStoreAt{ 0 };                     ///< When it was told.
-  instant mToldSilentAt{ 0 };                    ///< When another told that the store is silent.
-  bool mStoreAway = false;                       ///< The store was away for this daemon lately.
-  std::size_t mMostDaemons = kFewestDaemons;     ///< The most ever heard, or kFewestDaemons.
-  std::size_t mDaemons = 1;                      ///< Daemons that take callers, as known.
-  bool mStopping = false;                        ///< A planned stop is under way.
-  instant mStopBy{ 0 };                          ///< End of the planned stop.
-  std::function<void(run_message)> mTell;        ///< Tells the other daemons.
-  std::function<void(run_message)> mTellPlacers; ///< Tells those that place.
+  static constexpr std::size_t kMinBudgetDaemons = 8;
+
+  asio::io_context& mIo;                        ///< Runs everything.
+  gateway_settings mSettings;                   ///< From the settings source.
+  std::shared_ptr<const route_table> mRoutes;   ///< Null until a configuration is known.
+  runner_table mRunners;                        ///< All runners.
+  refused_table mRefused;                       ///< Prompts refused by any daemon.
+  placement_table mPlacement;                   ///< All generations.
+  placement_queue mPlaceQueue;                  ///< Places for all daemons, if this one is asked.
+  crash_ledger mCrashes;                        ///< Requests that crash runners.
+  gateway_metrics mMetrics;                     ///< Counters and histograms.
+  instant mRunnersReadAt{ 0 };                  ///< When the runners were last read, or told.
+  upstream_pool mPool;                          ///< Connections to runners, for requests.
+  http_pool mSideCalls;                         ///< Connections to runners, for side calls.
+  std::map<std::string, retry_budget> mBudgets; ///< By service.
+  std::mt19937_64 mRandom;                      ///< Spreads choices and times.
+  store_position mPeerStorePosition;            ///< Newest that another daemon told.
+  instant mPeerStorePositionAt{ 0 };            ///< When it was told.
+  instant mPeerStoreSilentAt{ 0 };              ///< When another told that the store is silent.
+  bool mStoreRecentlyUnavailable = false;       ///< The store was away for this daemon lately.
+  std::size_t mMaxDaemonsHeard = kMinBudgetDaemons; ///< The most ever heard, or kMinBudgetDaemons.
+  std::size_t mDaemons = 1;                         ///< Daemons that take callers, as known.
+  bool mStopping = false;                           ///< A planned stop is under way.
+  instant mStopDeadline{ 0 };                       ///< End of the planned stop.
+  std::function<void(run_message)> mTellDaemons;    ///< Tells the other daemons.
+  std::function<void(run_message)> mTellPlacers;    ///< Tells those that place.
   std::function<void(const crash_report&)> mReportCrash;  ///< Notes a crash and tells of it.
   std::function<void(request_fingerprint)> mReportServed; ///< Notes a request as served whole.
-  place_asker mAskPlacer;                                 ///< Asks one that places.
+  ask_placer_callback mAskPlacer;                         ///< Asks one that places.
 };
 
 } // namespace dunehook
--- a/src/state/gateway_metrics.cpp
+++ b/src/state/gateway_metrics.cpp
@@ -11,10 +11,12 @@
 namespace {
 
 /** Bounds in seconds, around the latency targets of 0.3 s and 0.9 s. */
-const prometheus::Histogram::BucketBoundaries kFirstBounds{ 0.05, 0.1, 0.2, 0.3, 0.5,
-                                                            0.7,  0.9, 1.5, 3.0, 10.0 };
+const prometheus::Histogram::BucketBoundaries kFirstAnswerBounds{ 0.05, 0.1, 0.2, 0.3, 0.5,
+                                                                  0.7,  0.9, 1.5, 3.0, 10.0 };
 /** Bounds in seconds, around the target of 0.3 s. */
-const prometheus::Histogram::BucketBoundaries kGapBounds{ 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 3.0 };
+const prometheus::Histogram::BucketBoundaries kLongestGapBounds{
+  0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 3.0
+};
 
 prometheus::Family<prometheus::Counter>*
 Counters(prometheus::Registry& aRegistry, const char* aName, const char* aHelp)
@@ -34,24 +36,24 @@
   : mRequests(Counters(mRegistry,
                        "dunehook_requests_total",
                        "Requests ended, by route, outcome and reason."))
-  , mFirst(Histograms(mRegistry,
-                      "dunehook_first_answer_seconds",
-                      "Time to the first event of a stream, or to a whole plain answer."))
-  , mGaps(Histograms(mRegistry,
-                     "dunehook_longest_gap_seconds",
-                     "Longest pause between two events of a stream."))
-  , mBroken(
+  , mFirstAnswers(Histograms(mRegistry,
+                             "dunehook_first_answer_seconds",
+                             "Time to the first event of a stream, or to a whole plain answer."))
+  , mLongestGaps(Histograms(mRegistry,
+                            "dunehook_longest_gap_seconds",
+                            "Longest pause between two events of a stream."))
+  , mBrokenAnswers(
       Counters(mRegistry, "dunehook_answers_broken_total", "Sends that gave no whole answer."))
   , mQuarantines(Counters(mRegistry, "dunehook_quarantines_total", "Requests put into quarantine."))
   , mPlaces(Counters(mRegistry, "dunehook_places_total", "Places asked for, by outcome."))
-  , mNotices(Counters(mRegistry,
-                      "dunehook_runner_notices_total",
-                      "Answers in which a runner says something of itself, by notice."))
-  , mPrompts(Counters(mRegistry,
-                      "dunehook_prompt_tokens_total",
-                      "Prompt tokens read, and of them thrown away, by reason."))
+  , mRunnerNotices(Counters(mRegistry,
+                            "dunehook_runner_notices_total",
+                            "Answers in which a runner says something of itself, by notice."))
+  , mPromptTokens(Counters(mRegistry,
+                           "dunehook_prompt_tokens_total",
+                           "Prompt tokens read, and of them thrown away, by reason."))
   , mRepeats(Counters(mRegistry, "dunehook_repeats_total", "Sends beyond the first, by service."))
-  , mStore(Counters(mRegistry, "dunehook_store_calls_total", "Calls to the store, by answer."))
+  , mStoreCalls(Counters(mRegistry, "dunehook_store_calls_total", "Calls to the store, by answer."))
   , mGauges(&prometheus::BuildGauge()
                .Name("dunehook_state")
                .Help("Current values, by name.")
@@ -62,10 +64,10 @@
 std::string
 gateway_metrics::RouteLabel(const std::string& aRoute)
 {
-  if (mRoutes.size() < kMostRoutes) {
-    mRoutes.insert(aRoute);
+  if (mLabelledRoutes.size() < kMaxRouteLabels) {
+    mLabelledRoutes.insert(aRoute);
   }
-  return mRoutes.count(aRoute) > 0 ? aRoute : "other";
+  return mLabelledRoutes.count(aRoute) > 0 ? aRoute : "other";
 }
 
 void
@@ -81,21 +83,21 @@
 }
 
 void
-gateway_metrics::ObserveFirst(const std::string& aRoute, double aSeconds)
+gateway_metrics::ObserveFirstAnswer(const std::string& aRoute, double aSeconds)
 {
-  mFirst->Add({ { "route", RouteLabel(aRoute) } }, kFirstBounds).Observe(aSeconds);
+  mFirstAnswers->Add({ { "route", RouteLabel(aRoute) } }, kFirstAnswerBounds).Observe(aSeconds);
 }
 
 void
-gateway_metrics::ObserveGap(const std::string& aRoute, double aSeconds)
+gateway_metrics::ObserveLongestGap(const std::string& aRoute, double aSeconds)
 {
-  mGaps->Add({ { "route", RouteLabel(aRoute) } }, kGapBounds).Observe(aSeconds);
+  mLongestGaps->Add({ { "route", RouteLabel(aRoute) } }, kLongestGapBounds).Observe(aSeconds);
 }
 
 void
-gateway_metrics::CountBroken(const std::string& aRoute)
+gateway_metrics::CountBrokenAnswer(const std::string& aRoute)
 {
-  mBroken->Add({ { "route", RouteLabel(aRoute) } }).Increment();
+  mBrokenAnswers->Add({ { "route", RouteLabel(aRoute) } }).Increment();
 }
 
 void
@@ -113,13 +115,13 @@
 void
 gateway_metrics::CountNotice(std::string_view aNotice)
 {
-  mNotices->Add({ { "notice", std::string(aNotice) } }).Increment();
+  mRunnerNotices->Add({ { "notice", std::string(aNotice) } }).Increment();
 }
 
 void
 gateway_metrics::CountPromptTokens(std::string_view aWhat, double aTokens)
 {
-  mPrompts->Add({ { "what", std::string(aWhat) } }).Increment(aTokens);
+  mPromptTokens->Add({ { "what", std::string(aWhat) } }).Increment(aTokens);
 }
 
 void
@@ -131,7 +133,7 @@
 void
 gateway_metrics::CountStoreCall(std::string_view aCall, bool aAnswered)
 {
-  mStore->Add({ { "call", std::string(aCall) }, { "answered", aAnswered ? "yes" : "no" } })
+  mStoreCalls->Add({ { "call", std::string(aCall) }, { "answered", aAnswered ? "yes" : "no" } })
     .Increment();
 }
 
--- a/src/state/gateway_metrics.h
+++ b/src/state/gateway_metrics.h
@@ -32,13 +32,13 @@
    */
   void CountRequest(const std::string& aRoute, std::string_view aOutcome, std::string_view aReason);
   /** Observes the time to the first event, or to a whole plain answer, in seconds. */
-  void ObserveFirst(const std::string& aRoute, double aSeconds);
+  void ObserveFirstAnswer(const std::string& aRoute, double aSeconds);
   /** Observes the longest pause between events of a stream, in seconds. */
-  void ObserveGap(const std::string& aRoute, double aSeconds);
+  void ObserveLongestGap(const std::string& aRoute, double aSeconds);
   /** Counts an answer in which a runner says something of itself: "leaves", "wants_nothing". */
   void CountNotice(std::string_view aNotice);
   /** Counts an answer that broke off, or never came, after the request was sent to a runner. */
-  void CountBroken(const std::string& aRoute);
+  void CountBrokenAnswer(const std::string& aRoute);
   /** Counts a request that was put into quarantine: "judged" here, or "told" by another. */
   void CountQuarantine(std::string_view aHow);
   /** Counts a place that was asked for at an engine, by what came of it. */
@@ -57,21 +57,21 @@
   /** @return the route as a label; beyond a number of routes they share one. */
   std::string RouteLabel(const std::string& aRoute);
 
-  static constexpr std::size_t kMostRoutes = 100; ///< Routes with labels of their own.
+  static constexpr std::size_t kMaxRouteLabels = 100; ///< Routes with labels of their own.
 
-  prometheus::Registry mRegistry;                        ///< Owns all families.
-  prometheus::Family<prometheus::Counter>* mRequests;    ///< By route, outcome, reason.
-  prometheus::Family<prometheus::Histogram>* mFirst;     ///< By route.
-  prometheus::Family<prometheus::Histogram>* mGaps;      ///< By route.
-  prometheus::Family<prometheus::Counter>* mBroken;      ///< By route.
-  prometheus::Family<prometheus::Counter>* mQuarantines; ///< By how it was learned.
-  prometheus::Family<prometheus::Counter>* mPlaces;      ///< By outcome.
-  prometheus::Family<prometheus::Counter>* mNotices;     ///< By notice.
-  prometheus::Family<prometheus::Counter>* mPrompts;     ///< Tokens, by what became of them.
-  prometheus::Family<prometheus::Counter>* mRepeats;     ///< By service.
-  prometheus::Family<prometheus::Counter>* mStore;       ///< By call and answer.
-  prometheus::Family<prometheus::Gauge>* mGauges;        ///< One family, by name.
-  std::set<std::string> mRoutes;                         ///< Routes with labels of their own.
+  prometheus::Registry mRegistry;                           ///< Owns all families.
+  prometheus::Family<prometheus::Counter>* mRequests;       ///< By route, outcome, reason.
+  prometheus::Family<prometheus::Histogram>* mFirstAnswers; ///< By route.
+  prometheus::Family<prometheus::Histogram>* mLongestGaps;  ///< By route.
+  prometheus::Family<prometheus::Counter>* mBrokenAnswers;  ///< By route.
+  prometheus::Family<prometheus::Counter>* mQuarantines;    ///< By how it was learned.
+  prometheus::Family<prometheus::Counter>* mPlaces;         ///< By outcome.
+  prometheus::Family<prometheus::Counter>* mRunnerNotices;  ///< By notice.
+  prometheus::Family<prometheus::Counter>* mPromptTokens;   ///< Tokens, by what became of them.
+  prometheus::Family<prometheus::Counter>* mRepeats;        ///< By service.
+  prometheus::Family<prometheus::Counter>* mStoreCalls;     ///< By call and answer.
+  prometheus::Family<prometheus::Gauge>* mGauges;           ///< One family, by name.
+  std::set<std::string> mLabelledRoutes;                    ///< Routes with labels of their own.
 };
 
 } // namespace dunehook
--- a/tests/unit/metrics_test.cpp
+++ b/tests/unit/metrics_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(gateway_metrics){};
 
-TEST(gateway_metrics, RoutesBeyondANumberShareALabel)
+TEST(gateway_metrics, RoutesBeyondTheLabelLimitShareOneLabel)
 {
   gateway_metrics metrics;
   for (int i = 0; i < 300; ++i) {
@@ -22,7 +22,7 @@
   CHECK(text.find("route=\"other\"} 200") != std::string::npos);
 }
 
-TEST(gateway_metrics, TokensAreCountedByWhatBecameOfThem)
+TEST(gateway_metrics, PromptTokensAreCountedByWhatBecameOfThem)
 {
   gateway_metrics metrics;
   metrics.CountPromptTokens("read", 5000);
--- a/tests/unit/quarantine_link_test.cpp
+++ b/tests/unit/quarantine_link_test.cpp
@@ -38,8 +38,8 @@
     , mLink(mState)
     , mQuarantines(mState, mLink)
   {
-    mState.mTell = [this](run_message aMessage) { mLink.Tell(std::move(aMessage)); };
-    mState.mTellPlacers = mState.mTell;
+    mState.mTellDaemons = [this](run_message aMessage) { mLink.Tell(std::move(aMessage)); };
+    mState.mTellPlacers = mState.mTellDaemons;
     CHECK_TRUE(mLink.Open().has_value());
     mLink.Start([] { return true; });
     mQuarantines.Start();
--- a/tests/unit/store_contact_test.cpp
+++ b/tests/unit/store_contact_test.cpp
@@ -74,7 +74,7 @@
   void Meet(node & aReader, node & aOther)
   {
     const instant until = boot_clock_source{}.Now() + kHeardWithin;
-    aOther.mState.mToldStoreAt = aOther.mState.Now();
+    aOther.mState.mPeerStorePositionAt = aOther.mState.Now();
     while (aOther.mLink.RankInHall() != 1 && boot_clock_source{}.Now() < until) {
       mIo.run_for(milliseconds(10));
     }
@@ -88,7 +88,7 @@
   node reader(mIo, 1);
   node other(mIo, 2);
   Meet(reader, other);
-  other.mState.mToldStoreAt = other.mState.Now();
+  other.mState.mPeerStorePositionAt = other.mState.Now();
   CHECK_TRUE(reader.mContact.Asks());
   CHECK_FALSE(other.mContact.Asks());
 }
@@ -102,10 +102,10 @@
   test::SuspendFor(kToldFor + kAskerStep * 2);
   CHECK_TRUE(other.mContact.Asks()); // Nobody has told it for so long.
   CHECK_TRUE(other.mContact.ReadsRunners());
-  other.mState.mToldStoreAt = other.mState.Now();
+  other.mState.mPeerStorePositionAt = other.mState.Now();
   CHECK_TRUE(other.mContact.Asks());
   test::SuspendFor(kReadsOnFor);
-  other.mState.mToldStoreAt = other.mState.Now();
+  other.mState.mPeerStorePositionAt = other.mState.Now();
   CHECK_FALSE(other.mContact.Asks());
 }
 
@@ -117,6 +117,6 @@
   test::SuspendFor(kToldFor + kAskerStep * 2);
   CHECK_TRUE(other.mContact.ReadsRunners());
   other.mContact.NoteNoRunners();
-  other.mState.mToldStoreAt = other.mState.Now();
+  other.mState.mPeerStorePositionAt = other.mState.Now();
   CHECK_FALSE(other.mContact.Asks());
 }
--- a/tests/unit/suspension_test.cpp
+++ b/tests/unit/suspension_test.cpp
@@ -161,7 +161,7 @@
   settings.mName = "entry-1";
   settings.mFirstStart = true;
   forward_state state(mIo, settings);
-  state.mTell = [](const run_message&) {};
+  state.mTellDaemons = [](const run_message&) {};
   std::vector<runner_entry> entries;
   for (int i = 0; i < 4; ++i) {
     runner_entry entry;
