--- a/src/forward/caller_session.cpp
+++ b/src/forward/caller_session.cpp
@@ -16,25 +16,31 @@
 
 namespace {
 
-/** A caller that takes no bytes for this long is gone. */
+/** A caller that accepts no bytes for this long counts as disconnected. */
 constexpr duration kWriteTimeout = std::chrono::seconds(10);
-/** After a refusal of an unread body the caller may take this long to read the answer. */
+/** Time for a caller to read a refusal that was sent before its request was read. */
 constexpr duration kLingerTimeout = std::chrono::milliseconds(500);
-/** Bytes of a next request that are taken in while one is answered. */
+/**
+ * Most bytes of a pipelined request that are read while the current one is answered. Also the
+ * memory reserved for a body without a stated length.
+ */
 constexpr std::size_t kMaxReadAheadBytes = 16384;
-/** Bytes read at once. */
+/** Bytes per read. */
 constexpr std::size_t kReadBytes = 4096;
-/** Rest after a failed accept: mostly too many descriptors. */
+/** Delay after a failed accept, most often for want of file descriptors. */
 constexpr duration kAcceptRetryDelay = std::chrono::milliseconds(10);
 
-/** The watch over a caller's socket while its request is answered. */
+/** State of the coroutine that watches a caller's socket while its request is answered. */
 struct disconnect_watch
 {
-  std::weak_ptr<caller_exchange> mExchange; ///< The exchange under way.
-  bool mDone = false;                       ///< The answer is over.
+  std::weak_ptr<caller_exchange> mExchange; ///< The current exchange.
+  bool mDone = false;                       ///< The exchange has ended.
 };
 
-/** Takes in what has arrived without waiting. @return false if the caller has closed. */
+/**
+ * Reads available bytes without blocking.
+ * @return false if the caller has closed the connection.
+ */
 bool
 ReadAvailable(tcp::socket& aSocket, beast::flat_buffer& aBuffer)
 {
@@ -71,7 +77,10 @@
   }
 }
 
-/** Lets the caller read an answer although it's still sending: a close now would discard it. */
+/**
+ * Lets the caller read the response while it's still sending: closing now would discard the
+ * response.
+ */
 asio::awaitable<void>
 Linger(beast::tcp_stream& aStream)
 {
@@ -85,7 +94,7 @@
   }
 }
 
-/** @return the status for a request that can't be read; 0 if the connection just ended. */
+/** @return the status for an unreadable request; 0 if the connection just ended. */
 unsigned
 StatusOf(const boost::system::error_code& aError)
 {
@@ -103,7 +112,7 @@
   return aError.category() == sHttpCategory && !cut ? 400 : 0;
 }
 
-/** @return whether the head leaves open where the request ends or whom it's for. */
+/** @return whether the head is ambiguous about where the request ends or which host it's for. */
 bool
 IsAmbiguous(const http::request_header<>& aHead)
 {
@@ -162,7 +171,7 @@
   const bool oldCaller = mRequest.version() < 11;
   mChunked = !aLength && !oldCaller;
   if (!aLength && oldCaller) {
-    mKeepAlive = false; // The end of the connection is the end of the body.
+    mKeepAlive = false; // HTTP/1.0: closing the connection marks the end of the body.
   }
   std::string head = HeadText(aStatus, aHead);
   if (aLength) {
@@ -263,7 +272,7 @@
 caller_listener::StopAccepting()
 {
   mState.mRefuseNewRequests = true;
-  boost::system::error_code ignored; // Closed twice is as good as once.
+  boost::system::error_code ignored; // Closing twice is harmless.
   mAcceptor.close(ignored);
 }
 
@@ -271,7 +280,8 @@
 caller_listener::CloseIdle()
 {
   for (tcp::socket* const socket : mState.mIdleSockets) {
-    boost::system::error_code ignored; // The session sees the end and closes.
+    boost::system::error_code
+      ignored; // The session notices and closes.
     socket->shutdown(tcp::socket::shutdown_both, ignored);
   }
 }
@@ -394,7 +404,7 @@
   }
   watch->mDone = true;
   mState.mBodyBytes -= held;
-  boost::system::error_code ignored; // Ends the watch; the socket may be closed already.
+  boost::system::error_code ignored; // Ends the watch coroutine; the socket may be closed already.
   aStream.socket().cancel(ignored);
   if (!exchange->ResponseComplete()) {
     exchange->ResetConnection();
--- a/src/forward/caller_session.h
+++ b/src/forward/caller_session.h
@@ -1,7 +1,7 @@
 /**
  * @file caller_session.h
- * Callers' connections: strict reading of requests within the limits of the configuration, whole
- * and streamed answers that go out as they come, and notice of a caller that leaves.
+ * Callers' HTTP connections: parses requests within the configured limits, writes whole and
+ * streamed responses, and detects callers that disconnect.
  */
 #pragma once
 
@@ -15,33 +15,37 @@
 
 namespace dunehook {
 
-/** Sessions of a listener have these in common. */
+/** State that all sessions of a listener share. */
 struct listener_state
 {
-  caller_limits mLimits;               ///< In force for the next request.
-  bool mClosing = false;               ///< Connections end after their next answer.
-  bool mRefuseNewRequests = false;     ///< Requests that aren't whole yet are refused.
-  std::optional<instant> mAcceptUntil; ///< From then on it's the same, whether noted or not.
-  std::uint64_t mBodyBytes = 0;        ///< Bytes of request bodies held now.
-  std::uint64_t mMaxBodyBytes = 0;     ///< Most bytes of request bodies held at once.
-  std::size_t mOpenConnections = 0;    ///< Connections.
+  caller_limits mLimits;               ///< Limits for the next request that is read.
+  bool mClosing = false;               ///< Each connection closes after its next response.
+  bool mRefuseNewRequests = false;     ///< Requests that aren't complete yet are refused.
+  std::optional<instant> mAcceptUntil; ///< From this time on new requests are refused as well, even
+                                       ///< if mRefuseNewRequests isn't set yet.
+  std::uint64_t mBodyBytes = 0;        ///< Bytes of request bodies in memory.
+  std::uint64_t mMaxBodyBytes = 0;     ///< Limit of mBodyBytes.
+  std::size_t mOpenConnections = 0;    ///< Open connections.
   std::size_t mActiveRequests = 0;     ///< Requests being read or answered.
-  std::set<tcp::socket*> mIdleSockets; ///< Sockets of connections that rest between requests.
+  std::set<tcp::socket*> mIdleSockets; ///< Connections idle between requests.
 
-  /** @return whether no further request is taken. A process that stood still notes it late. */
+  /**
+   * @return whether new requests are refused at aNow. The time is compared as well, because a
+   * process that was suspended sets mRefuseNewRequests late.
+   */
   bool RefusesNewRequests(instant aNow) const
   {
     return mRefuseNewRequests || (mAcceptUntil && aNow >= *mAcceptUntil);
   }
 };
 
-/** One request of a caller and its answer. */
+/** One request of a caller and its response. */
 class caller_exchange
 {
 public:
   using request_type = http::request<http::string_body>;
 
-  /** @param aCaller the caller's host. */
+  /** @param aCaller address of the caller's host. */
   caller_exchange(beast::tcp_stream& aStream,
                   const asio::ip::address& aCaller,
                   request_type aRequest,
@@ -61,49 +65,53 @@
   /** @return the address of the caller's host, without the port. */
   std::string CallerAddress() const { return mCaller.to_string(); }
 
-  /** Sends a whole answer. */
+  /** Sends a whole response. */
   asio::awaitable<void> Respond(unsigned aStatus,
                                 const http::fields& aHead,
                                 std::string_view aBody);
   /**
-   * Sends the head of an answer whose body follows in pieces.
-   * @param aLength length of the body, if known; else it goes in chunks.
-   * @return whether the caller still takes bytes.
+   * Sends the head of a response whose body follows in pieces.
+   * @param aLength length of the body, if known; otherwise the body is chunked.
+   * @return whether the caller still receives.
    */
   asio::awaitable<bool> StartBody(unsigned aStatus,
                                   const http::fields& aHead,
                                   std::optional<std::uint64_t> aLength);
-  /** Sends a piece of the body. @return whether the caller still takes bytes. */
+  /**
+   * Sends a piece of the body.
+   * @return whether the caller still receives.
+   */
   asio::awaitable<bool> Write(std::string_view aBytes);
-  /** Ends the body as whole. */
+  /** Completes the body. */
   asio::awaitable<void> EndBody();
-  /** Ends the connection, so that the answer can't look whole. */
+  /** Resets the connection, so that the caller can't take a partial response for a complete one. */
   void ResetConnection();
 
-  /** @param aCallback called once if the caller leaves before the answer ends. */
+  /** @param aCallback called once if the caller disconnects before the response ends. */
   void OnDisconnect(std::function<void()> aCallback);
   bool Disconnected() const { return mDisconnected; }
   bool ResponseComplete() const { return mResponseComplete; }
   bool KeepAlive() const { return mKeepAlive; }
-  /** The connection ends after this answer. */
+  /** Closes the connection after this response. */
   void EndKeepAlive() { mKeepAlive = false; }
-  /** For the session: notes that the caller has left. */
+  /** Called by the session when the caller has disconnected. */
   void MarkDisconnected();
 
 private:
   asio::awaitable<bool> WriteAll(std::string_view aHead, std::string_view aBytes);
   std::string HeadText(unsigned aStatus, const http::fields& aHead) const;
 
-  beast::tcp_stream& mStream;               ///< The caller's connection.
-  asio::ip::address mCaller;                ///< The caller's host; known also once it has closed.
-  request_type mRequest;                    ///< The request, without its body.
+  beast::tcp_stream& mStream; ///< The caller's connection.
+  asio::ip::address
+    mCaller;             ///< The caller's host; still valid after a close.
+  request_type mRequest; ///< The request without its body.
   std::shared_ptr<const std::string> mBody; ///< The request's body.
   std::function<void()> mOnDisconnect;      ///< Called at most once.
-  bool mKeepAlive;                          ///< The connection goes on after the answer.
-  bool mChunked = false;                    ///< The answer's body goes in chunks.
-  bool mStarted = false;                    ///< Bytes of the answer were sent.
-  bool mResponseComplete = false;           ///< The answer is whole.
-  bool mDisconnected = false;               ///< The caller left or can't be written to.
+  bool mKeepAlive;                          ///< Keep the connection open after the response.
+  bool mChunked = false;                    ///< The response body is chunked.
+  bool mStarted = false;          ///< Sending of the response has begun.
+  bool mResponseComplete = false; ///< The response is complete.
+  bool mDisconnected = false;     ///< The caller disconnected or can't be written to.
 };
 
 using caller_exchange_ptr = std::shared_ptr<caller_exchange>;
@@ -127,17 +135,23 @@
 
   endpoint Address() const { return AddressOf(mAcceptor); }
   listener_state& State() { return mState; }
-  /** Takes no further connections, and no further requests on open ones. */
+  /** Stops accepting connections, and refuses new requests on open ones. */
   void StopAccepting();
-  /** Ends connections that rest between requests. */
+  /** Shuts down connections that are idle between requests. */
   void CloseIdle();
 
 private:
   asio::awaitable<void> AcceptLoop();
   asio::awaitable<void> Serve(tcp::socket aSocket, asio::ip::address aCaller);
-  /** Waits for the first bytes of the next request. @return whether there are any. */
+  /**
+   * Waits for the first bytes of the next request.
+   * @return whether any arrived.
+   */
   asio::awaitable<bool> AwaitRequest(beast::tcp_stream& aStream, beast::flat_buffer& aBuffer);
-  /** Reads and answers a request. @return whether the connection goes on. */
+  /**
+   * Reads and answers one request.
+   * @return whether the connection stays open.
+   */
   asio::awaitable<bool> ServeOne(beast::tcp_stream& aStream,
                                  asio::ip::address aCaller,
                                  beast::flat_buffer& aBuffer);
@@ -145,7 +159,7 @@
   asio::io_context& mIo;   ///< Runs every session.
   tcp::acceptor mAcceptor; ///< The listening socket.
   caller_handler mHandler; ///< Called for each request.
-  listener_state mState;   ///< Outlives the sessions.
+  listener_state mState;   ///< Shared by the sessions, which it outlives.
 };
 
 } // namespace dunehook
--- a/src/forward/crash_watch.h
+++ b/src/forward/crash_watch.h
@@ -1,7 +1,7 @@
 /**
  * @file crash_watch.h
- * What one request has to do with crashes of runners: whether it's in quarantine, and what is noted
- * when its answer breaks off or is whole.
+ * Relates one request to crashes of runners: tells whether the request is quarantined, and reports
+ * lost connections and completed responses.
  */
 #pragma once
 
@@ -9,11 +9,11 @@
 
 namespace dunehook {
 
-/** The watch over one request. Its fingerprint is worked out only if it's needed. */
+/** Crash tracking of one request. The fingerprint is computed only when needed. */
 class crash_watch
 {
 public:
-  /** @param aFacts outlive the watch, as the others do. */
+  /** All arguments must outlive this object. */
   crash_watch(forward_state& aState, const caller_exchange& aExchange, const request_facts& aFacts)
     : mState(aState)
     , mExchange(aExchange)
@@ -21,21 +21,23 @@
   {
   }
 
-  /** @return whether the request may be sent to no runner. */
+  /** @return whether the request is quarantined and must not be sent to any runner. */
   bool Quarantined()
   {
     return !mState.mCrashes.Empty() && mState.mCrashes.StandingOf(Fingerprint(), mState.Now()) ==
                                          request_standing::eQuarantined;
   }
-  /** @return when its caller may come back. */
+  /** @return the remaining time of the quarantine, after which the caller may retry. */
   duration QuarantinedFor() { return mState.mCrashes.QuarantinedFor(Fingerprint(), mState.Now()); }
-  /** Notes that the connection to a runner broke on which an answer was awaited.
-   * @param aProgressed the caller had something of this run's answer. */
+  /**
+   * Reports that the connection to a runner was lost while a response was awaited.
+   * @param aProgressed the caller had received part of this run's response.
+   */
   void ReportConnectionLost(service_runner_id aRunner, bool aProgressed)
   {
     mState.mReportCrash({ Fingerprint(), aRunner, aProgressed });
   }
-  /** Notes that a whole answer came. */
+  /** Reports that a complete response arrived. */
   void ReportServed()
   {
     if (!mState.mCrashes.Empty()) {
@@ -51,13 +53,13 @@
   }
 
 private:
-  forward_state& mState;            ///< Shared.
-  const caller_exchange& mExchange; ///< The caller's side.
-  const request_facts& mFacts;      ///< Of the request's head.
-  request_fingerprint mFingerprint; ///< 0 until it's needed.
+  forward_state& mState;            ///< State shared by the daemon's components.
+  const caller_exchange& mExchange; ///< The caller's connection and request.
+  const request_facts& mFacts;      ///< Parsed from the request's head.
+  request_fingerprint mFingerprint; ///< Empty until first needed.
 };
 
-/** Refuses a request that is in quarantine: it hasn't run, and may come back when that is over. */
+/** Refuses a quarantined request: it hasn't run, and may be retried when the quarantine ends. */
 template<wire_format Wire>
 asio::awaitable<void>
 RefuseQuarantined(forward_state& aState,
--- a/src/forward/engine_calls.h
+++ b/src/forward/engine_calls.h
@@ -1,6 +1,7 @@
 /**
  * @file engine_calls.h
- * Calls to engines beside the requests themselves: reservations, and freeing what isn't needed.
+ * Calls to engines besides the forwarded requests: reservations, and the release of what is no
+ * longer needed.
  */
 #pragma once
 
@@ -10,10 +11,13 @@
 
 namespace dunehook {
 
-/** Longest wait for a reservation or a release: the engine answers at once. */
+/** Limit of a reservation or release call; engines answer these at once. */
 inline constexpr duration kSideCallTimeout = std::chrono::milliseconds(250);
 
-/** The calls. Each may be repeated: what a lost answer reserved lapses by itself. */
+/**
+ * Side calls to engines. Each may be repeated: a reservation whose answer is lost expires at the
+ * engine.
+ */
 template<wire_format Wire>
 class engine_calls
 {
@@ -24,8 +28,9 @@
   }
 
   /**
-   * Reserves a place to generate.
-   * @return the reservation, eRunnerRefused if the engine has no room, or why it isn't known.
+   * Reserves memory for a generation.
+   * @return the reservation, eRunnerRefused if the engine has no room, or the error that kept the
+   * answer away.
    */
   asio::awaitable<result<reservation>> Reserve(service_runner_id aEngine,
                                                endpoint aAt,
@@ -42,13 +47,13 @@
     co_return Wire::ReadReservation(answer.mBody);
   }
 
-  /** Gives a reservation back; nobody waits for the answer. */
+  /** Releases a reservation without waiting for the answer. */
   void Release(const endpoint& aAt, const reservation& aReservation)
   {
     SpawnGuarded(mState.mIo, SendInBackground(mState, aAt, Wire::ReleaseCall(aReservation)));
   }
 
-  /** Frees a prefill result; nobody waits for the answer. */
+  /** Frees a prefill result without waiting for the answer. */
   void Free(const endpoint& aAt, const prefill_result& aResult)
   {
     SpawnGuarded(mState.mIo, SendInBackground(mState, aAt, Wire::FreePrefillCall(aResult)));
@@ -61,12 +66,12 @@
   {
     const result<http_answer> answer =
       co_await aState.mSideCalls.Call(aAt, aCall, kSideCallTimeout);
-    if (!answer) { // The engine's own limit ends what it was to free.
+    if (!answer) { // The engine frees it when its own time limit passes.
       LogEvent(log_level::eInfo, "release_unanswered", { { "at", ToText(aAt) } });
     }
   }
 
-  forward_state& mState; ///< Shared.
+  forward_state& mState; ///< State shared by the daemon's components.
 };
 
 } // namespace dunehook
--- a/src/forward/event_splitter.cpp
+++ b/src/forward/event_splitter.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** @return the place behind the first blank line, or npos. */
+/** @return the offset after the first blank line, or npos. */
 std::size_t
 EndOfEvent(std::string_view aBytes)
 {
--- a/src/forward/event_splitter.h
+++ b/src/forward/event_splitter.h
@@ -1,7 +1,7 @@
 /**
  * @file event_splitter.h
- * Cuts a stream of server-sent events into whole events, so that a stream that breaks midway ends
- * between two events and can go on at the next one.
+ * Splits a stream of server-sent events into complete events, so that a stream that breaks is cut
+ * between two events and can be resumed at the next one.
  */
 #pragma once
 
@@ -12,28 +12,31 @@
 
 namespace dunehook {
 
-/** The splitter of one stream. */
+/** Splits the events of one stream. */
 class event_splitter
 {
 public:
-  /** Takes bytes of the stream. @return the whole events among the bytes so far. */
+  /**
+   * Appends bytes of the stream.
+   * @return the events that are now complete.
+   */
   std::string Feed(std::string_view aBytes);
 
-  /** @return the bytes after the last whole event. */
+  /** @return the bytes after the last complete event. */
   const std::string& PartialEvent() const { return mPartialEvent; }
-  /** Drops the bytes after the last whole event: another runner makes that event anew. */
+  /** Drops the bytes after the last complete event: another runner generates that event again. */
   void DropPartialEvent() { mPartialEvent.clear(); }
-  /** @return the id of the last whole event, if it has a numeric one. */
+  /** @return the id of the last complete event that had a numeric one. */
   std::optional<std::uint64_t> LastId() const { return mLastId; }
-  /** @return whole events so far. */
+  /** @return the number of complete events so far. */
   std::uint32_t Count() const { return mCount; }
 
 private:
   void NoteEvent(std::string_view aEvent);
 
-  std::string mPartialEvent;            ///< Bytes of an event that isn't whole.
-  std::optional<std::uint64_t> mLastId; ///< Of the last whole event that had an id.
-  std::uint32_t mCount = 0;             ///< Whole events.
+  std::string mPartialEvent;            ///< Bytes of an incomplete event.
+  std::optional<std::uint64_t> mLastId; ///< Id of the last complete event that had one.
+  std::uint32_t mCount = 0;             ///< Complete events.
 };
 
 } // namespace dunehook
--- a/src/forward/gateway.h
+++ b/src/forward/gateway.h
@@ -1,7 +1,7 @@
 /**
  * @file gateway.h
- * A forwarding daemon: takes callers, follows the configuration and the runners in the store,
- * talks with the other daemons, and stops as planned.
+ * The forwarding daemon: accepts callers, follows the configuration and the runners in the store,
+ * exchanges messages with the other daemons, and shuts down gracefully.
  */
 #pragma once
 
@@ -15,28 +15,39 @@
 
 namespace dunehook {
 
-/** Time between passes over the tables. */
+/** Time between maintenance passes over the tables. */
 inline constexpr duration kTablePassInterval = std::chrono::milliseconds(250);
-/** A pass that comes later than this is told of: the process was frozen, or had no processor time,
- * and requests' targets are some hundred milliseconds. */
+/**
+ * A pass that is later than this is logged: the process was suspended or got no CPU time, and
+ * requests have latency targets of a few hundred milliseconds.
+ */
 inline constexpr duration kStallThreshold = std::chrono::milliseconds(500);
-/** Part of the memory that request bodies may take. */
+/** Request bodies may take the process's memory divided by this. */
 inline constexpr std::uint64_t kBodyMemoryDivisor = 4;
-/** The balancer goes on sending callers for about this long after a daemon isn't ready. */
+/**
+ * The balancer keeps sending callers for about this long after a daemon reports that it isn't
+ * ready.
+ */
 inline constexpr duration kBalancerRemovalDelay = std::chrono::milliseconds(2600);
-/** Kept off the limit of a planned stop, so that the process ends by itself. */
+/**
+ * Reserved at the end of the stop limit, so that the process exits by itself before it's killed.
+ */
 inline constexpr duration kStopMargin = std::chrono::milliseconds(500);
-/** Time between looks in a planned stop. */
+/** Time between checks during a graceful stop. */
 inline constexpr duration kStopPollInterval = std::chrono::milliseconds(50);
-/** A planned stop may cut what still runs in the last one of so many parts of its limit. */
+/**
+ * A graceful stop may cut running requests only in the last of this many equal parts of its limit.
+ */
 inline constexpr int kStopCutDivisor = 6;
-/** A signal is handled late if the pass over the tables is later than this: a share of a core may
- * rest for a tenth of a second. */
+/**
+ * A pass that is later than this means that a signal may have been handled late. A process with a
+ * share of a core may be paused for a tenth of a second, which isn't counted.
+ */
 inline constexpr duration kLatePassThreshold = std::chrono::milliseconds(100);
-/** What a process finds to do when it runs again is done so soon, signals included. */
+/** A process that resumes handles all pending events, signals included, within this time. */
 inline constexpr duration kResumeHandlingTime = std::chrono::milliseconds(50);
 
-/** The daemon. */
+/** The forwarding daemon. */
 template<wire_format Wire, control_store Store>
 class gateway
 {
@@ -74,7 +85,7 @@
     };
   }
 
-  /** Starts to serve. */
+  /** Starts serving. */
   void Start()
   {
     mLastPassAt = mState.Now();
@@ -86,7 +97,7 @@
     SpawnGuarded(mState.mIo, RunRolePasses());
   }
 
-  /** Begins a planned stop; the event loop ends when it's over. */
+  /** Begins a graceful stop; the event loop ends when it's complete. */
   void Drain()
   {
     if (mState.mStopping) {
@@ -99,8 +110,9 @@
              { { "open", mListener->State().mOpenConnections },
                { "late_ms", (now - since).count() / 1000 } });
     mState.mStopping = true;
-    // The signal came between the two instants. Requests are taken as if it came first; nothing is
-    // cut before the last part of the limit even if it came last.
+    // The signal arrived between `since` and `now`. New requests are refused as if it arrived at
+    // `since`; no running request is cut before the last part of the limit even if it arrived at
+    // `now`.
     const duration limit = mState.mSettings.mStopLimit;
     mState.mStopDeadline = std::max(since + limit - kStopMargin,
                                     now + limit - limit / kStopCutDivisor + kStopPollInterval);
@@ -109,7 +121,7 @@
     SpawnGuarded(mState.mIo, FinishStop(since));
   }
 
-  /** Takes over what may change while the daemon runs. */
+  /** Applies the settings that may change at run time. */
   void Reload(const gateway_settings& aSettings)
   {
     mState.mSettings.mRetries = aSettings.mRetries;
@@ -167,7 +179,7 @@
     co_await aExchange->Respond(200, text, noHeaders, "text/plain; version=0.0.4");
   }
 
-  /** @return the values of the gauges now. */
+  /** @return the current values of the gauges. */
   gateway_gauges Gauges()
   {
     gateway_gauges values;
@@ -209,9 +221,10 @@
   {
     const instant arrived = mState.Now();
     const request_facts facts = Wire::ReadRequest(aExchange->Request());
-    // Looked at once the request is whole. It may come late on a connection that an answer from
-    // before the stop left open, behind another request, or with slow bytes: the end of the process
-    // would cut it, and a caller that is told so can go elsewhere.
+    // Checked once the request is complete. A request may arrive late on a connection that a
+    // response from before the stop left open, pipelined behind another request, or with slow
+    // bytes: the exit of the process would cut it, whereas a refused caller can go to another
+    // daemon.
     if (mListener->State().RefusesNewRequests(arrived)) {
       mState.mMetrics.CountRequest("none", "refused", "stopping");
       mState.LogDecision(log_level::eInfo, "not_taken", facts.mId, {});
@@ -265,7 +278,10 @@
     }
   }
 
-  /** @return connections to one runner that may rest, by the service that takes the fewest. */
+  /**
+   * @return the limit of idle connections to one runner, taken from the service that allows the
+   * fewest.
+   */
   std::size_t IdleConnectionLimit() const
   {
     std::size_t most = MostIdleConnections(std::numeric_limits<std::uint32_t>::max(), 1);
@@ -308,7 +324,7 @@
 
   asio::awaitable<void> RunRolePasses()
   {
-    co_await Sleep(kRoleTick); // Until the other daemons were heard.
+    co_await Sleep(kRoleTick); // Lets messages of the other daemons arrive first.
     for (;;) {
       co_await Sleep(kRoleTick);
       if (!Ready() || mFollower.Contact().WasAway()) {
@@ -326,8 +342,10 @@
     }
   }
 
-  /** @return the earliest that a signal came which is handled at @p aNow: a process that stood
-   * still handles it late, and its limit counts from the signal. */
+  /**
+   * @return the earliest time at which a signal handled at @p aNow may have arrived: a process that
+   * was suspended handles it late, but the stop limit counts from the signal.
+   */
   instant EarliestSignalTime(instant aNow) const
   {
     if (aNow - mLastPassAt > kTablePassInterval + kLatePassThreshold) {
@@ -337,7 +355,8 @@
   }
 
   /**
-   * Waits until the balancer has turned away and what runs is over, then ends the event loop.
+   * Waits until the balancer no longer sends callers and the running requests have ended, then ends
+   * the event loop.
    * @param aSince when the stop began.
    */
   asio::awaitable<void> FinishStop(instant aSince)
@@ -360,32 +379,36 @@
     mState.mIo.stop();
   }
 
-  /** A request waits so long for the first configuration: a refusal that comes later is no use to
-   * the caller. */
+  /**
+   * Longest time that a request waits for the first configuration: a later refusal is of no use to
+   * the caller.
+   */
   static constexpr duration kStartupWait = std::chrono::milliseconds(25);
-  /** Time between looks for the first configuration. */
+  /** Time between checks for the first configuration. */
   static constexpr duration kStartupPollInterval = std::chrono::milliseconds(5);
-  /** A caller of a daemon that stops may come back then, to another: the time of a new connection
-   * between halls, and room for one that is slow. */
+  /**
+   * Time after which a caller of a stopping daemon may retry at another one: the time to connect to
+   * another data hall, with a reserve for a slow connection.
+   */
   static constexpr duration kStoppingRetryAfter = std::chrono::milliseconds(50);
-  /** A caller of a daemon that starts may come back then. */
+  /** Time after which a caller of a starting daemon may retry. */
   static constexpr duration kStartingRetryAfter = std::chrono::milliseconds(500);
 
-  forward_state mState;                            ///< Shared by all parts.
-  Store mStore;                                    ///< Configuration, runners and terms.
-  role_controller<Wire, Store> mRoles;             ///< Gives engines their roles.
-  daemon_link mLink;                               ///< The other daemons.
-  placer_link mPlacers;                            ///< Those that place generations.
-  quarantine_store<Store> mQuarantines;            ///< Keeps requests that crash runners off them.
-  store_follower<Store> mFollower;                 ///< Follows the store.
-  std::unique_ptr<caller_listener> mListener;      ///< For callers.
-  std::unique_ptr<http_listener> mMetricsListener; ///< For the operators' metrics.
-  std::unique_ptr<http_listener> mConfigListener;  ///< For other daemons.
-  std::unique_ptr<http_listener> mReadiness;       ///< For the balancer.
-  log_totals mLogTotals;                           ///< Of the last tick.
-  instant mLastPassAt{ 0 };                        ///< The last pass over the tables.
-  instant mStallBegan{ 0 };                        ///< End of the pass before the last late one.
-  instant mStallEnded{ 0 };                        ///< When the last late pass came.
+  forward_state mState;                       ///< State that all components share.
+  Store mStore;                               ///< Store of configuration, runners and terms.
+  role_controller<Wire, Store> mRoles;        ///< Assigns roles to engines.
+  daemon_link mLink;                          ///< Messages to and from the other daemons.
+  placer_link mPlacers;                       ///< Calls to the daemons that place generations.
+  quarantine_store<Store> mQuarantines;       ///< Keeps requests that crash runners away from them.
+  store_follower<Store> mFollower;            ///< Follows changes in the store.
+  std::unique_ptr<caller_listener> mListener; ///< Accepts callers.
+  std::unique_ptr<http_listener> mMetricsListener; ///< Serves the operators' metrics.
+  std::unique_ptr<http_listener> mConfigListener;  ///< Serves the configuration to other daemons.
+  std::unique_ptr<http_listener> mReadiness;       ///< Serves the balancer's readiness checks.
+  log_totals mLogTotals;                           ///< Log totals as of the last pass.
+  instant mLastPassAt{ 0 };                        ///< End of the last pass over the tables.
+  instant mStallBegan{ 0 }; ///< Start of the last stall: the end of the pass before a late one.
+  instant mStallEnded{ 0 }; ///< End of the last stall: when the late pass began.
 };
 
 } // namespace dunehook
--- a/src/forward/generation_call.h
+++ b/src/forward/generation_call.h
@@ -1,8 +1,9 @@
 /**
  * @file generation_call.h
- * Forwards generations to model engines: finds a place, reserves it at the decode engine, has a
- * prefill engine read the prompt, hands over, and passes the events on as they come. The prompt is
- * read only once a place to generate is reserved, so that no read is thrown away.
+ * Forwards generations to model engines: finds a placement, reserves memory at the decode engine,
+ * has a prefill engine process the prompt, hands the result over, and streams the events to the
+ * caller. The prompt is processed only once decode memory is reserved, so that no prefill is
+ * wasted.
  */
 #pragma once
 
@@ -13,14 +14,14 @@
 
 namespace dunehook {
 
-/** Kept off the latency target for the way to the caller. */
+/** Part of the latency target reserved for delivery to the caller. */
 inline constexpr duration kCallerDeliveryMargin = std::chrono::milliseconds(30);
-/** A resumed answer is expected to go on for so many tokens at least. */
+/** A resumed response is expected to produce at least this many more tokens. */
 inline constexpr std::uint32_t kMinRemainingTokens = 64;
-/** Part of the most tokens that is expected where the caller has no guess. */
+/** Expected answer length as a share of the token limit, where the caller gives no estimate. */
 inline constexpr double kDefaultAnswerShare = 0.5;
 
-/** One generation. */
+/** Serves one generation request. */
 template<wire_format Wire>
 class generation_call
 {
@@ -50,8 +51,9 @@
     mDemand.mModel = mFacts.mModel;
     mDemand.mHall = mState.mSettings.mHall;
     mDemand.mEventGap = aRoute.mEventGap;
-    // Whoever asks for the rest of a broken stream is late already, as one that was refused is: a
-    // crowd of them after a loss of hosts waits, instead of being refused as too late to be read.
+    // A caller that resumes a broken stream is already late, as one that was refused is. When many
+    // of them return after a loss of hosts, they wait instead of being refused for a prefill that
+    // would come too late.
     mDemand.mReturned =
       mFacts.mLastEvent.has_value() || mState.mRefused.Contains(mFacts.mPromptKey, aArrived);
     mDemand.mPromptTokens = mFacts.mPromptTokens;
@@ -62,7 +64,7 @@
     }
   }
 
-  /** Serves the request to its end. */
+  /** Serves the request until it ends. */
   asio::awaitable<void> Run()
   {
     mState.BudgetOf(mService.mName).NoteRequest();
@@ -81,8 +83,8 @@
   duration TimeLeft() const { return mDeadline - mState.Now(); }
 
   /**
-   * @param aSends sends that the service will see beyond those of a request that goes well.
-   * @return whether the request may be placed anew.
+   * @param aSends sends to the service in addition to those of a request without failures.
+   * @return whether the retry budget allows a new placement.
    */
   bool TakeReplacementBudget(double aSends)
   {
@@ -104,7 +106,10 @@
     return std::max(1U, static_cast<std::uint32_t>(std::min(most, guess)));
   }
 
-  /** Counts events that the caller has as part of the prompt. */
+  /**
+   * Adds events that the caller already has to the prompt, and subtracts them from the expected
+   * answer.
+   */
   void SkipDeliveredEvents(std::uint64_t aEvents)
   {
     const auto made = static_cast<std::uint32_t>(aEvents * mTraits.mTokensPerEvent);
@@ -116,7 +121,10 @@
     mDemand.mMostTokens = mDemand.mMostTokens > 0 ? left(mDemand.mMostTokens) : 0;
   }
 
-  /** One placement and its run. @return whether to go on with another. */
+  /**
+   * Places the request and runs it once.
+   * @return whether to try another placement.
+   */
   asio::awaitable<bool> TryOnce()
   {
     const instant firstEventBy =
@@ -130,7 +138,7 @@
       co_await GiveUp(mPrefillFailed ? "prefill_failed" : ReasonName(mPlace.NoPlace()));
       co_return false;
     }
-    if (mCrashWatch.Quarantined()) { // Other tries of it may have crashed engines meanwhile.
+    if (mCrashWatch.Quarantined()) { // Other attempts of it may have crashed engines meanwhile.
       co_await GiveUpQuarantined();
       co_return false;
     }
@@ -160,7 +168,9 @@
     return decode == nullptr ? 0 : decode->mEntry.VersionOf(mDemand.mModel);
   }
 
-  /** Has the chosen prefill engine read the prompt. @return whether there's a result to hand over.
+  /**
+   * Has the chosen prefill engine process the prompt.
+   * @return whether there's a result to hand over.
    */
   asio::awaitable<bool> ReadPrompt()
   {
@@ -177,7 +187,7 @@
     }
     if (mPrefillFailed) {
       mDemand.mFailed.push_back(*mPlace.Choice().mPrefill);
-      // The service sees one call too many, unless nothing reached it.
+      // One send was wasted, unless nothing reached the engine.
       mExtraReadSends = end == read_outcome::eNotSent ? 0.0 : 1.0;
     }
     co_return !mPrefillFailed;
@@ -200,7 +210,9 @@
     return mEvents.LastId() ? mEvents.LastId() : mFacts.mLastEvent;
   }
 
-  /** Has the decode engine generate, and passes the events on. @return whether to go on elsewhere.
+  /**
+   * Has the decode engine generate, and forwards the events.
+   * @return whether to try another placement.
    */
   asio::awaitable<bool> Generate()
   {
@@ -252,15 +264,20 @@
     co_return co_await ForwardEvents(answer);
   }
 
-  /** @return whether the decode engine wants requests of this daemon; one that has given a place
-   * may have told another request since that it wants none for a time. */
+  /**
+   * @return whether the decode engine accepts requests of this daemon. After it granted the
+   * reservation it may have told another request to back off.
+   */
   bool DecodeAcceptsRequests() const
   {
     const runner_state* const decode = mState.mRunners.Find(mPlace.Choice().mDecode);
     return decode == nullptr || mState.Now() >= decode->mQuietUntil;
   }
 
-  /** The decode engine didn't take the request. @return whether to go on with another. */
+  /**
+   * Handles a decode engine that didn't take the request.
+   * @return whether to try another placement.
+   */
   asio::awaitable<bool> HandleRefusedHandoff(upstream_response& aAnswer, send_outcome aOutcome)
   {
     if (aAnswer.mConnection) {
@@ -274,8 +291,8 @@
                        { { "runner", mPlace.DecodeName() },
                          { "outcome", OutcomeName(aOutcome) },
                          { "status", aAnswer.mFacts.mStatus } });
-    // An engine that wasn't reached, or has another role, hasn't taken the result: another may. A
-    // refusal may mean that the result is gone.
+    // An engine that wasn't reached or has another role hasn't taken the prefill result, so another
+    // engine can. A refusal may mean that the result no longer exists.
     const bool keepsResult =
       aAnswer.mSendStatus == send_status::eNotSent || aOutcome == send_outcome::eMisdirected;
     if (!keepsResult) {
@@ -312,7 +329,10 @@
     co_await mExchange->Respond(aAnswer.mFacts.mStatus, aAnswer.mHead, body);
   }
 
-  /** Passes a stream on. @return whether it broke and may go on elsewhere. */
+  /**
+   * Forwards a stream.
+   * @return whether it broke and may be resumed elsewhere.
+   */
   asio::awaitable<bool> ForwardEvents(upstream_response& aAnswer)
   {
     upstream_connection& upstream = *aAnswer.mConnection;
@@ -363,12 +383,12 @@
     }
   }
 
-  /** Sends events to the caller, with the head before the first ones. */
+  /** Sends events to the caller, preceded by the response head if they are the first. */
   asio::awaitable<bool> SendEvents(const upstream_response& aAnswer, const std::string& aEvents)
   {
     if (!mStarted) {
       mStarted = true;
-      const std::optional<std::uint64_t> length; // Streams tell none.
+      const std::optional<std::uint64_t> length; // A stream's length is unknown.
       const bool open =
         co_await mExchange->StartBody(aAnswer.mFacts.mStatus, aAnswer.mHead, length);
       if (!open) {
@@ -379,12 +399,16 @@
     co_return open;
   }
 
-  /** Decides how a request goes on whose run ended without a whole answer.
-   * @param aBroke the connection to the engine ended.
-   * @param aProgressed events of this run were passed on. */
+  /**
+   * Decides how to continue after a run that ended without a complete response.
+   * @param aBroke the connection to the engine was lost.
+   * @param aProgressed events of this run were forwarded.
+   * @return whether to try another placement.
+   */
   asio::awaitable<bool> HandleInterruptedRun(bool aBroke, bool aProgressed)
   {
-    if (mExchange->Disconnected()) { // The caller's leave ended the run, not the engine.
+    if (mExchange->Disconnected()) { // The run ended because the caller disconnected, not because
+                                     // of the engine.
       mPromptRead.Discard("caller_left");
       mState.mRunners.NoteOutcome(mPlace.Choice().mDecode, send_outcome::eAbandoned, mState.Now());
       co_return false;
@@ -424,7 +448,7 @@
     co_return false;
   }
 
-  /** Gives the final answer of a request that may be sent to no engine any more. */
+  /** Sends the final response to a quarantined request. */
   asio::awaitable<void> GiveUpQuarantined()
   {
     mPlace.Release();
@@ -438,7 +462,7 @@
     }
   }
 
-  /** Gives the final answer of a request that got no events. */
+  /** Sends the final response to a request that can't be served any further. */
   asio::awaitable<void> GiveUp(std::string_view aReason)
   {
     if (mExchange->Disconnected()) {
@@ -476,7 +500,10 @@
       *mExchange, mFacts.mId, status, status == 503 ? back : duration{ 0 }, aReason);
   }
 
-  /** Notes the refusal here and at the other daemons, so that a caller that comes back is known. */
+  /**
+   * Records the refusal here and at the daemons that place, so that a retry of the caller is
+   * recognised.
+   */
   void NoteRefused()
   {
     mState.mRefused.Note(mFacts.mPromptKey, mState.Now());
@@ -486,7 +513,7 @@
     mState.mTellPlacers(std::move(message));
   }
 
-  /** Notes a run that ended well: its length and pace make the next forecasts. */
+  /** Records a completed run: its length and pace feed later forecasts. */
   void NoteFinished(std::uint32_t aMade, duration aTook)
   {
     const std::uint32_t first = mTraits.mTokensPerEvent;
@@ -534,35 +561,35 @@
                          { "ms", (mState.Now() - mArrived).count() / 1000 } });
   }
 
-  /** Sends of a placement beyond the first: one for the read, one for the answer. */
+  /** Extra sends of a new placement: one to the prefill engine, one to the decode engine. */
   static constexpr double kSendsPerPlacement = 2.0;
-  /** Reads of a prompt, or handoffs, that may fail before a request is given up on. */
+  /** Prefills, and likewise handoffs, that may fail before the request is abandoned. */
   static constexpr std::uint32_t kMaxFailedAttempts = 2;
 
-  forward_state& mState;                      ///< Shared.
-  caller_exchange_ptr mExchange;              ///< The caller's side.
-  request_facts mFacts;                       ///< Of the request's head.
+  forward_state& mState;                      ///< State shared by the daemon's components.
+  caller_exchange_ptr mExchange;              ///< The caller's connection and request.
+  request_facts mFacts;                       ///< Parsed from the request's head.
   std::shared_ptr<const route_table> mRoutes; ///< Keeps mRoute and mService alive.
-  const forward_route& mRoute;                ///< Its route.
-  const forward_service& mService;            ///< The service that takes it.
-  engine_traits mTraits;                      ///< Of the service's engines.
-  instant mArrived;                           ///< When it was read, or broke.
-  instant mDeadline;                          ///< When it's too late.
-  generation_demand mDemand;                  ///< What is asked of placement.
-  generation_place<Wire> mPlace;              ///< Engines that serve it.
-  prompt_read<Wire> mPromptRead;              ///< What a prefill engine has read.
-  crash_watch mCrashWatch;                    ///< Whether it crashes engines.
-  event_splitter mEvents;                     ///< Events passed on, over all runs.
-  std::uint32_t mEventsInPrompt = 0;          ///< Events counted into the demand's prompt.
-  std::uint32_t mSends = 0;                   ///< Decode engines that may have run it.
-  double mExtraReadSends = 0.0;               ///< Sends too many by the last read that failed.
-  std::uint32_t mFailedReads = 0;             ///< Reads that failed.
-  std::uint32_t mFailedHandoffs = 0;          ///< Handoffs that were refused.
+  const forward_route& mRoute;                ///< The request's route.
+  const forward_service& mService;            ///< The service that serves the request.
+  engine_traits mTraits;                      ///< Traits of the service's engines.
+  instant mArrived;                           ///< When the request arrived, or its last run broke.
+  instant mDeadline;                          ///< End of the request's time limit.
+  generation_demand mDemand;                  ///< What the placement must provide.
+  generation_place<Wire> mPlace;              ///< The chosen engines and their reservation.
+  prompt_read<Wire> mPromptRead;              ///< The prefill and its result.
+  crash_watch mCrashWatch;                    ///< Crash tracking of the request.
+  event_splitter mEvents;                     ///< Splits the events, over all runs.
+  std::uint32_t mEventsInPrompt = 0;          ///< Events already added to the demand's prompt.
+  std::uint32_t mSends = 0;                   ///< Decode engines that may have run the request.
+  double mExtraReadSends = 0.0;               ///< Wasted sends of the last failed prefill.
+  std::uint32_t mFailedReads = 0;             ///< Failed prefills.
+  std::uint32_t mFailedHandoffs = 0;          ///< Handoffs that failed.
   instant mRunStartedAt{ 0 };                 ///< When the last run was sent.
-  duration mLongestGap{ 0 };                  ///< Longest pause between events passed on.
-  bool mStarted = false;                      ///< The caller has the head of the answer.
-  bool mMayHaveRun = false;                   ///< It may have run somewhere.
-  bool mPrefillFailed = false;                ///< The last read failed.
+  duration mLongestGap{ 0 };                  ///< Longest pause between forwarded events.
+  bool mStarted = false;                      ///< The response head was sent to the caller.
+  bool mMayHaveRun = false;                   ///< A runner may have run the request.
+  bool mPrefillFailed = false;                ///< The last prefill failed.
 };
 
 } // namespace dunehook
--- a/src/forward/generation_place.h
+++ b/src/forward/generation_place.h
@@ -1,7 +1,8 @@
 /**
  * @file generation_place.h
- * The place of one generation: looks for engines with room, reserves the decode engine's memory,
- * and keeps the run in the table of this daemon and of the others until it's forgotten.
+ * The placement of one generation: finds engines with room, reserves the decode engine's memory,
+ * and keeps the run in the placement tables of this daemon and of the daemons that place until it
+ * ends.
  */
 #pragma once
 
@@ -9,17 +10,17 @@
 
 namespace dunehook {
 
-/** Time between looks for a place while a request waits. */
+/** Time between placement attempts while a request waits. */
 inline constexpr duration kPlacementRetryInterval = std::chrono::milliseconds(15);
-/** A reservation outlives the expected end of the read by this. */
+/** A reservation lasts this much longer than the expected end of the prefill. */
 inline constexpr duration kReservationSlack = std::chrono::milliseconds(600);
 
-/** The place. */
+/** Placement of one generation. */
 template<wire_format Wire>
 class generation_place
 {
 public:
-  /** @param aRank of the route: 0 is the most urgent. */
+  /** @param aRank priority of the route; 0 is the most urgent. */
   generation_place(forward_state& aState,
                    caller_exchange& aExchange,
                    const request_facts& aFacts,
@@ -34,12 +35,12 @@
   }
 
   /**
-   * Looks for a place, waiting a little if there's none.
+   * Finds a placement, and waits a little if there's none.
    * @param aFirstEventBy when the first event is late.
-   * @param aTarget time in which the first event of a new request comes; who has come back is late
-   * already, and is placed where it's read as quickly as a new one.
-   * @param aWait how long it may wait; no new look after that.
-   * @return false if there's none, or the caller has left.
+   * @param aTarget time to the first event of a new request. A returned request is late already,
+   * and is placed where its prompt is processed as quickly as that of a new one.
+   * @param aWait how long the request may wait; no further attempt after that.
+   * @return false if there's none, or the caller has disconnected.
    */
   asio::awaitable<bool> Find(generation_demand& aDemand,
                              engine_traits aTraits,
@@ -63,7 +64,8 @@
         if (reserved || mExchange.Disconnected()) {
           co_return reserved;
         }
-        // An engine that was silent says nothing of the memory that others have: the wait stays.
+        // An unreachable engine says nothing about the memory of the others, so the wait stays
+        // unchanged.
         if (mEngineRefused) {
           aWait = aWait.Refused(aTarget);
         }
@@ -71,7 +73,8 @@
       const duration wait = std::max<duration>(
         kPlacementRetryInterval, std::min(answer.mFreeIn, kPlacementRetryInterval * 3));
       const duration most = mState.mStopping ? aWait.mNew : aWait.Of(aDemand.mReturned);
-      const bool refused = !answer.mChoice && !mPlacedLocally; // It has waited where others place.
+      const bool refused =
+        !answer.mChoice && !mPlacedLocally; // It has already waited at the daemon that places.
       if (refused || mState.Now() + wait > began + most) {
         mFreeIn = answer.mFreeIn;
         mNoPlace = answer.mChoice ? no_place::eNoMemory : answer.mReason;
@@ -84,7 +87,7 @@
     }
   }
 
-  /** Takes the run out of the table and tells the others. */
+  /** Removes the run from the table and tells the daemons that place. */
   void EndRun()
   {
     if (!mPlaced) {
@@ -100,7 +103,7 @@
     }
   }
 
-  /** Gives the reservation back, if it wasn't used. */
+  /** Releases the reservation, if it wasn't used. */
   void Release()
   {
     if (!mReservation.mId.empty()) {
@@ -114,21 +117,21 @@
 
   const placement_choice& Choice() const { return mChoice; }
   const endpoint& DecodeAddress() const { return mDecodeAddress; }
-  /** @return the decode engine's id in the discovery. */
+  /** @return the decode engine's id in service discovery. */
   const std::string& DecodeName() const { return mDecodeName; }
-  /** @return why the last look found no place. */
+  /** @return why the last attempt found no placement. */
   no_place NoPlace() const { return mNoPlace; }
-  /** @return expected time until there's a place, after a look that found none. */
+  /** @return the expected time until there's room, after an attempt that found none. */
   duration FreeIn() const { return mFreeIn; }
-  /** @return whether this daemon chose by itself: none that places had answered. */
+  /** @return whether this daemon chose by itself, because no daemon that places answered. */
   bool PlacedLocally() const { return mPlacedLocally; }
-  /** @return time until the place was given. */
+  /** @return the time that the last successful choice of engines took, waits included. */
   duration PlacementTime() const { return mPlacementTime; }
-  /** @return reservations that engines refused. */
+  /** @return the number of reservations that engines did not grant. */
   std::uint32_t Refusals() const { return mRefusals; }
 
 private:
-  /** Has a daemon that places choose, or chooses itself where none answers. */
+  /** Asks a daemon that places; chooses locally if none answers. */
   asio::awaitable<placement_answer> Choose(generation_demand& aDemand,
                                            const engine_traits& aTraits,
                                            place_wait aWait)
@@ -168,11 +171,11 @@
     co_return answer;
   }
 
-  /** Notes the run in the table and reserves its place at the engine. */
+  /** Adds the run to the table and reserves memory at the decode engine. */
   asio::awaitable<bool> Reserve(const generation_demand& aDemand, duration aLongestHold)
   {
     const runner_state* const decode = mState.mRunners.Find(mChoice.mDecode);
-    // Whoever has chosen it may not know yet what this daemon knows.
+    // The daemon that chose it may lack what this daemon knows.
     if (decode == nullptr) {
       NoteFull();
     }
@@ -208,7 +211,7 @@
     co_return true;
   }
 
-  /** Notes that the decode engine didn't reserve a place. */
+  /** Records that the decode engine granted no reservation. */
   void NoteNoReservation(const std::error_code& aError, std::uint32_t aTokens)
   {
     const bool reached = aError == errc::eRunnerRefused || aError == errc::eBadRequest;
@@ -228,7 +231,7 @@
                          { "expected_peak", mChoice.mPeakShare } });
   }
 
-  /** Notes that the chosen engine takes nothing now, here and where others place. */
+  /** Records, here and at the daemons that place, that the chosen engine has no room now. */
   void NoteFull()
   {
     mState.mPlacement.NoteFull(mChoice.mDecode, mState.Now());
@@ -245,25 +248,25 @@
     mState.mTellPlacers(std::move(message));
   }
 
-  forward_state& mState;                   ///< Shared.
-  engine_calls<Wire> mEngines;             ///< Calls beside the request.
-  caller_exchange& mExchange;              ///< The caller's side; outlives the place.
+  forward_state& mState;                   ///< State shared by the daemon's components.
+  engine_calls<Wire> mEngines;             ///< Reservation and release calls.
+  caller_exchange& mExchange;              ///< The caller's side; outlives this object.
   std::string mRequestId;                  ///< The request's id.
-  std::uint64_t mPromptKey;                ///< Of the prompt's own part.
-  std::uint32_t mRank;                     ///< Of the route.
-  placement_choice mChoice;                ///< The engines, once found.
-  run_id mRun;                             ///< The run's id, once in the table.
+  std::uint64_t mPromptKey;                ///< Key of the prompt's own part.
+  std::uint32_t mRank;                     ///< Priority of the route.
+  placement_choice mChoice;                ///< The chosen engines, once found.
+  run_id mRun;                             ///< Id of the run, once in the table.
   endpoint mDecodeAddress;                 ///< Address of the decode engine.
-  std::string mDecodeName;                 ///< Its id in the discovery.
-  reservation mReservation;                ///< Held and not used yet.
-  no_place mNoPlace = no_place::eNoEngine; ///< Why there's no place.
-  duration mFreeIn{ 0 };                   ///< Expected time until there's a place.
-  duration mPlacementTime{ 0 };            ///< Time until there was a place.
-  std::uint32_t mRefusals = 0;             ///< Reservations that were refused.
-  bool mEngineRefused = false;             ///< The last engine asked has refused the place.
+  std::string mDecodeName;                 ///< Its id in service discovery.
+  reservation mReservation;                ///< Granted and not used yet.
+  no_place mNoPlace = no_place::eNoEngine; ///< Why the last attempt found no placement.
+  duration mFreeIn{ 0 };                   ///< Expected time until there's room.
+  duration mPlacementTime{ 0 };            ///< Time until engines were chosen.
+  std::uint32_t mRefusals = 0;             ///< Reservations that weren't granted.
+  bool mEngineRefused = false;             ///< The last engine asked refused the reservation.
   bool mPlacedLocally = true;              ///< This daemon chose by itself.
-  bool mPlaced = false;                    ///< The run is in the table.
-  bool mAnnounced = false;                 ///< The others know of the run.
+  bool mPlaced = false;                    ///< The run is in the placement table.
+  bool mAnnounced = false;                 ///< The daemons that place know of the run.
 };
 
 } // namespace dunehook
--- a/src/forward/plain_call.h
+++ b/src/forward/plain_call.h
@@ -1,7 +1,7 @@
 /**
  * @file plain_call.h
  * Forwards requests to plain services. A request that may not be repeated is sent to one runner
- * only, unless it's certain that nothing ran; the caller is told that it didn't run only then.
+ * only, unless it's certain that nothing ran; only then is the caller told that it didn't run.
  */
 #pragma once
 
@@ -9,22 +9,26 @@
 
 namespace dunehook {
 
-/** Bytes of an answer that are held before the caller gets the first: an answer cut below this
- * can still be replaced by another runner's. */
+/**
+ * Bytes of a response that are buffered before the caller gets the first: a response cut below this
+ * size can still be replaced by another runner's.
+ */
 inline constexpr std::size_t kMaxBufferedBytes = 65536;
 /** A repeatable request waits this many latency targets for one runner before it tries another. */
 inline constexpr int kTargetsBeforeRetry = 2;
-/** A request waits for a runner that rests for this part of its latency target: a refusal that
- * comes later is no use to the caller. */
+/**
+ * A request waits for a backing-off runner for its latency target divided by this: a later refusal
+ * is of no use to the caller.
+ */
 inline constexpr int kRunnerWaitDivisor = 5;
-/** Time between looks for a runner. */
+/** Time between checks for an available runner. */
 inline constexpr duration kRunnerPollInterval = std::chrono::milliseconds(10);
-/** Connections that may fail before a request is given up on; nothing is sent by them. */
+/** Attempts after which a request is abandoned; a failed connection sends nothing. */
 inline constexpr std::uint32_t kMaxConnectAttempts = 4;
-/** A caller whose request found no runner may come back about then. */
+/** Mean time after which the caller of a request that found no runner may retry. */
 inline constexpr duration kPlainRetryAfter = std::chrono::milliseconds(150);
 
-/** One plain request. */
+/** Serves one plain request. */
 template<wire_format Wire>
 class plain_call
 {
@@ -48,7 +52,7 @@
   {
   }
 
-  /** Serves the request to its end. */
+  /** Serves the request until it ends. */
   asio::awaitable<void> Run()
   {
     mState.BudgetOf(mService.mName).NoteRequest();
@@ -63,15 +67,20 @@
   duration TimeLeft() const { return mDeadline - mState.Now(); }
   duration MaxRunnerWait() const { return mRoute.mFirstAnswer / kRunnerWaitDivisor; }
 
-  /** @return whether a runner that rests wants requests again while this one may wait. Looks at all
-   * runners: only for a request that found none. */
+  /**
+   * @return whether a backing-off runner accepts requests again while this one may wait. Scans all
+   * runners, so it's called only for a request that found none.
+   */
   bool RunnerWillAcceptSoon() const
   {
     return mState.mRunners.HasRunner(mService.mName) &&
            mState.mRunners.WantedFrom(mService.mName) < mArrived + MaxRunnerWait();
   }
 
-  /** @return whether another runner may be tried after one that the request reached. */
+  /**
+   * Takes a retry from the budget.
+   * @return whether another runner may be tried after one that the request reached.
+   */
   bool TakeRetryBudget()
   {
     const bool allowed = mSends < mRoute.mMaxRunners && TimeLeft() > duration{ 0 } &&
@@ -82,7 +91,10 @@
     return allowed;
   }
 
-  /** Tries one runner. @return whether to try another. */
+  /**
+   * Tries one runner.
+   * @return whether to try another.
+   */
   asio::awaitable<bool> TryOnce()
   {
     if (mCrashWatch.Quarantined()) {
@@ -125,7 +137,10 @@
     co_return again;
   }
 
-  /** Acts on the end of a send. @return whether to try another runner. */
+  /**
+   * Handles the outcome of a send.
+   * @return whether to try another runner.
+   */
   asio::awaitable<bool> HandleSendResult(service_runner_id aRunner,
                                          endpoint aAddress,
                                          upstream_response& aAnswer,
@@ -137,7 +152,7 @@
     }
     if (aAnswer.mSendStatus == send_status::eNotSent) {
       NoteOutcome(aRunner, send_outcome::eUnreachable);
-      co_return true; // Nothing left this daemon: another runner is no repeat.
+      co_return true; // Nothing was sent, so another runner isn't a retry.
     }
     ++mSends;
     std::string body;
@@ -161,7 +176,7 @@
     }
     const bool success = aAnswer.mFacts.mStatus < 300;
     if (aAnswer.mSendStatus == send_status::eAnswered && success && !aAnswer.mFacts.mHasReceipt) {
-      aAnswer.mSendStatus = send_status::eUnknown; // Not the runner's own answer.
+      aAnswer.mSendStatus = send_status::eUnknown; // The response isn't the runner's own.
     }
     bool again = false;
     if (aAnswer.mSendStatus == send_status::eNotRun) {
@@ -174,7 +189,10 @@
     co_return again;
   }
 
-  /** The runner didn't run the request. @return whether to try another. */
+  /**
+   * Handles a runner's statement that it didn't run the request.
+   * @return whether to try another.
+   */
   asio::awaitable<bool> HandleRefusal(service_runner_id aRunner, const upstream_response& aAnswer)
   {
     NoteOutcome(aRunner, OutcomeOf(aAnswer));
@@ -185,7 +203,10 @@
     co_return false;
   }
 
-  /** The request may have run, and there's no whole answer. @return whether to try another. */
+  /**
+   * Handles a request that may have run without a complete response.
+   * @return whether to try another runner.
+   */
   asio::awaitable<bool> HandleLostResponse(service_runner_id aRunner,
                                            const upstream_response& aAnswer)
   {
@@ -211,7 +232,10 @@
     co_return false;
   }
 
-  /** Passes a whole answer on, unless it's a failure that another runner may mend. */
+  /**
+   * Forwards a whole response, unless it's a failure that another runner may avoid.
+   * @return whether to try another runner.
+   */
   asio::awaitable<bool> ForwardResponse(service_runner_id aRunner,
                                         const upstream_response& aAnswer,
                                         const std::string& aBody)
@@ -224,14 +248,14 @@
       co_return true;
     }
     const bool success = aAnswer.mFacts.mStatus < 300;
-    mCrashWatch.ReportServed(); // A failure of the runner's own too: it lives on.
+    mCrashWatch.ReportServed(); // An error response counts as well: the runner is still alive.
     mState.mMetrics.CountRequest(
       mRoute.mName, success ? "served" : "failed", success ? "" : "runner_failure");
     co_await mExchange->Respond(aAnswer.mFacts.mStatus, aAnswer.mHead, aBody);
     co_return false;
   }
 
-  /** Writes a line on a runner's answer. */
+  /** Logs a runner's response and records its latency. */
   void LogResponse(unsigned aStatus)
   {
     const bool good = aStatus < 500;
@@ -248,7 +272,7 @@
                          { "ms", took.count() / 1000 } });
   }
 
-  /** Passes a large answer on piece by piece. */
+  /** Forwards a large response piece by piece. */
   asio::awaitable<void> Stream(const endpoint& aAddress,
                                upstream_response& aAnswer,
                                std::string& aHeld)
@@ -277,7 +301,7 @@
     ReturnConnection(mState, *mExchange, aAddress, aAnswer.mConnection);
   }
 
-  /** Gives the final answer of a request that may be sent to no runner any more. */
+  /** Sends the final response to a quarantined request. */
   asio::awaitable<void> GiveUpQuarantined()
   {
     if (mMayHaveRun || mFailure) {
@@ -287,7 +311,7 @@
     }
   }
 
-  /** Gives the final answer of a request that no runner served. */
+  /** Sends the final response to a request that no runner served. */
   asio::awaitable<void> GiveUp(std::string_view aReason)
   {
     if (mFailure) {
@@ -312,7 +336,7 @@
       *mExchange, mFacts.mId, status, status == 503 ? back : duration{ 0 }, aReason);
   }
 
-  /** @return when the caller of a request that found no runner shall come back. */
+  /** @return the time after which the caller of a request that found no runner may retry. */
   duration RetryAfter()
   {
     const double spread = 0.5 + mState.RandomFraction();
@@ -329,29 +353,29 @@
     mState.mRunners.NoteOutcome(aRunner, aOutcome, mState.Now());
   }
 
-  /** A failure of a runner's own, for the caller if no other runner does better. */
+  /** A runner's error response, for the caller if no other runner does better. */
   struct failure_response
   {
     unsigned mStatus = 0; ///< HTTP status.
-    http::fields mHead;   ///< Fields for the caller.
+    http::fields mHead;   ///< Headers for the caller.
     std::string mBody;    ///< Whole body.
   };
 
-  forward_state& mState;                      ///< Shared.
-  caller_exchange_ptr mExchange;              ///< The caller's side.
-  request_facts mFacts;                       ///< Of the request's head.
+  forward_state& mState;                      ///< State shared by the daemon's components.
+  caller_exchange_ptr mExchange;              ///< The caller's connection and request.
+  request_facts mFacts;                       ///< Parsed from the request's head.
   std::shared_ptr<const route_table> mRoutes; ///< Keeps mRoute and mService alive.
-  const forward_route& mRoute;                ///< Its route.
-  const forward_service& mService;            ///< The service that takes it.
-  crash_watch mCrashWatch;                    ///< Whether it crashes runners.
-  instant mArrived;                           ///< When it was read.
-  instant mDeadline;                          ///< When it's too late.
-  std::set<service_runner_id> mTriedRunners;  ///< Runners tried.
-  std::string mRunnerName;                    ///< Runner of the last try.
-  std::uint32_t mSends = 0;                   ///< Runners that it reached; at most mMaxRunners.
-  std::uint32_t mAttempts = 0;                ///< Runners tried, reached or not.
-  bool mMayHaveRun = false;                   ///< It may have run somewhere.
-  std::optional<failure_response> mFailure;   ///< The last failure that was repeated.
+  const forward_route& mRoute;                ///< The request's route.
+  const forward_service& mService;            ///< The service that serves the request.
+  crash_watch mCrashWatch;                    ///< Crash tracking of the request.
+  instant mArrived;                           ///< When the request arrived.
+  instant mDeadline;                          ///< End of the request's time limit.
+  std::set<service_runner_id> mTriedRunners;  ///< Runners tried so far.
+  std::string mRunnerName;                    ///< Name of the runner tried last.
+  std::uint32_t mSends = 0;    ///< Runners that the request reached; at most mMaxRunners.
+  std::uint32_t mAttempts = 0; ///< Runners tried, reached or not.
+  bool mMayHaveRun = false;    ///< A runner may have run the request.
+  std::optional<failure_response> mFailure; ///< The last error response that was retried.
 };
 
 } // namespace dunehook
--- a/src/forward/prompt_read.h
+++ b/src/forward/prompt_read.h
@@ -1,6 +1,7 @@
 /**
  * @file prompt_read.h
- * Has a prefill engine read a prompt, and keeps the result until a decode engine takes it.
+ * Has a prefill engine process a prompt, and keeps track of the result until a decode engine takes
+ * it.
  */
 #pragma once
 
@@ -9,24 +10,26 @@
 
 namespace dunehook {
 
-/** A read that takes this much longer than expected is given up. */
+/** A prefill that takes this much longer than expected is abandoned. */
 inline constexpr duration kPrefillSlack = std::chrono::milliseconds(900);
-/** A result isn't handed over within this time of its end: the handoff takes some milliseconds, and
- * the engine counts from a moment that this daemon doesn't know. */
+/**
+ * A result this close to its expiry isn't handed over: the handoff takes some milliseconds, and the
+ * engine's lifetime of the result starts at a moment that this daemon doesn't know.
+ */
 inline constexpr duration kResultExpiryMargin = std::chrono::milliseconds(150);
-/** Largest answer that is held whole. */
+/** Largest response that is read whole into memory, in bytes. */
 inline constexpr std::size_t kMaxHeldResponseBytes = 65536;
 
-/** How a read ended. */
+/** Outcome of a prefill. */
 enum class read_outcome
 {
-  eRead,           ///< The result lies at the engine.
-  eNotSent,        ///< Nothing reached the engine.
-  eFailed,         ///< It reached the engine, and there's no result.
-  eConnectionLost, ///< The same, and the connection to the engine ended.
+  eRead,           ///< The result is stored at the engine.
+  eNotSent,        ///< Nothing was sent to the engine.
+  eFailed,         ///< The request was sent, but there's no result.
+  eConnectionLost, ///< As eFailed, and the connection to the engine was lost.
 };
 
-/** The read of one request's prompt. */
+/** The prefill of one request's prompt. */
 template<wire_format Wire>
 class prompt_read
 {
@@ -39,11 +42,11 @@
   }
 
   /**
-   * Has the chosen engine read the prompt. An answer that is lost on its way is asked for once more
-   * at the same engine: a read may be repeated, and one that the engine has done is quick.
-   * @param aPlan the send, without what concerns the read.
-   * @param aDemand tells the prompt's tokens and the model.
-   * @param aTakeRepeat asked before the read is repeated.
+   * Has the chosen engine process the prompt. If the response is lost, the same engine is asked
+   * once more: a prefill may be repeated, and one that the engine has completed returns quickly.
+   * @param aPlan the send plan; the fields that concern the prefill are filled in here.
+   * @param aDemand supplies the number of prompt tokens and the model.
+   * @param aTakeRepeat asks the retry budget before the prefill is repeated.
    */
   asio::awaitable<read_outcome> Read(const placement_choice& aChoice,
                                      send_plan aPlan,
@@ -72,7 +75,7 @@
     const duration spent = mState.Now() - began;
     if (lost && spent < limit && aTakeRepeat()) {
       LogRepeat();
-      aPlan.mTimeLeft -= spent; // The engine is told what is left, not what there was.
+      aPlan.mTimeLeft -= spent; // The engine gets the remaining time, not the original limit.
       answer = co_await Send(aPlan, limit - spent, body);
       broke = broke || answer.mConnectionLost;
     }
@@ -103,20 +106,23 @@
     co_return read_outcome::eRead;
   }
 
-  /** @return whether there's a result that a decode engine with these weights may still take. */
+  /**
+   * @return whether there's a result that a decode engine with this version of the weights can
+   * still take.
+   */
   bool IsUsable(duration aLifetime, std::uint64_t aVersion) const
   {
     const bool lives = mState.Now() - mReadAt + kResultExpiryMargin < aLifetime;
     return !mResultLocation.empty() && lives && mVersion == aVersion;
   }
-  /** @return where the result lies, empty if there's none. */
+  /** @return the location of the result, empty if there's none. */
   const std::string& ResultLocation() const { return mResultLocation; }
   /** @return id of the engine that was asked last. */
   const std::string& EngineName() const { return mEngineName; }
-  /** A decode engine has the prompt: the result is used. */
+  /** A decode engine has taken the result. */
   void MarkConsumed() { mResultLocation.clear(); }
 
-  /** Counts the prompt's tokens as thrown away, if it was read, and frees the result. */
+  /** Counts the prompt tokens as wasted, if the prompt was processed, and frees the result. */
   void Discard(std::string_view aWhy)
   {
     if (mTokens == 0) {
@@ -131,7 +137,7 @@
   }
 
 private:
-  /** Sends the request and reads the whole answer. */
+  /** Sends the request and reads the whole response. */
   asio::awaitable<upstream_response> Send(send_plan aPlan, duration aLimit, std::string& aBody)
   {
     upstream_response answer = co_await SendToRunner<Wire>(
@@ -170,16 +176,17 @@
                          { "status", aAnswer.mFacts.mStatus } });
   }
 
-  forward_state& mState;       ///< Shared.
-  caller_exchange& mExchange;  ///< The caller's side; outlives the read.
-  std::string mRequestId;      ///< The request's id.
-  std::string mEngineName;     ///< Id of the engine in the discovery.
-  endpoint mEngineAddress;     ///< Its address.
-  prefill_result mResult;      ///< The last result.
-  std::string mResultLocation; ///< "address:port/handle" of a result not taken yet, or empty.
-  std::uint64_t mVersion = 0;  ///< Weights of the engine that read it.
-  instant mReadAt{ 0 };        ///< When the result was told.
-  std::uint32_t mTokens = 0;   ///< Prompt tokens read and not counted as thrown away.
+  forward_state& mState;      ///< State shared by the daemon's components.
+  caller_exchange& mExchange; ///< The caller's side; outlives this object.
+  std::string mRequestId;     ///< The request's id.
+  std::string mEngineName;    ///< Service discovery id of the engine.
+  endpoint mEngineAddress;    ///< Its address.
+  prefill_result mResult;     ///< The last result.
+  std::string
+    mResultLocation;          ///< "address:port/handle" of a result that isn't taken yet, or empty.
+  std::uint64_t mVersion = 0; ///< Version of the weights that made the result.
+  instant mReadAt{ 0 };       ///< When the result arrived here.
+  std::uint32_t mTokens = 0;  ///< Prompt tokens processed and not counted as wasted.
 };
 
 } // namespace dunehook
--- a/src/forward/upstream_send.cpp
+++ b/src/forward/upstream_send.cpp
@@ -1,6 +1,6 @@
 /**
  * @file upstream_send.cpp
- * Fields that aren't passed on, and reading of bodies.
+ * Header filtering, request fingerprints and reading of response bodies.
  */
 #include "forward/upstream_send.h"
 
@@ -65,7 +65,8 @@
   const auto& request = aExchange.Request();
   const auto method = request.method_string();
   const auto host = request[http::field::host];
-  // A prompt is the same whoever asks; an address that is asked for without a body is not.
+  // The caller is part of the identity only without a prompt: the same prompt is one request
+  // whoever sends it, the same address without a body isn't.
   const std::string caller = aFacts.mPromptKey == 0 ? aExchange.CallerAddress() : std::string();
   request_identity identity;
   identity.mMethod = { method.data(), method.size() };
--- a/src/forward/upstream_send.h
+++ b/src/forward/upstream_send.h
@@ -1,7 +1,7 @@
 /**
  * @file upstream_send.h
- * One send of a caller's request to one runner: builds the head, reads the head of the answer and
- * tells what can be said of it.
+ * Sends a caller's request to one runner once: builds the request head, reads the response head and
+ * classifies the outcome.
  */
 #pragma once
 
@@ -14,40 +14,40 @@
 
 namespace dunehook {
 
-/** Longest wait for a connection to a runner; halls lie some milliseconds apart. */
+/** Limit of connecting to a runner; data halls are some milliseconds apart. */
 inline constexpr duration kConnectTime = std::chrono::milliseconds(250);
-/** Time beyond a request's limit that a runner gets to tell of its own end. */
+/** Time after a request's deadline in which a runner may still report how the request ended. */
 inline constexpr duration kResponseSlack = std::chrono::milliseconds(120);
 
 /** What is known after a send. */
 enum class send_status
 {
-  eNotSent,  ///< No connection: nothing left this daemon.
-  eNotRun,   ///< The runner told that it did not run the request.
-  eAnswered, ///< The head of an answer is there.
-  eUnknown,  ///< Something was sent, and it may have run.
+  eNotSent,  ///< No connection: nothing was sent.
+  eNotRun,   ///< The runner stated that it did not run the request.
+  eAnswered, ///< The response head was read.
+  eUnknown,  ///< Something was sent; the request may have run.
 };
 
-/** A send and the head of its answer. */
+/** The outcome of a send and the response head. */
 struct upstream_response
 {
-  send_status mSendStatus = send_status::eNotSent; ///< What is known.
-  answer_facts mFacts;                             ///< Of the head, if there is one.
-  http::fields mHead;                              ///< Fields for the caller, if answered.
-  upstream_ptr mConnection;                        ///< Where the body follows, if answered.
-  bool mTimedOut = false;                          ///< It ended by its time limit.
-  bool mConnectionLost = false;                    ///< The connection ended before the answer did.
+  send_status mSendStatus = send_status::eNotSent; ///< How far the send got.
+  answer_facts mFacts;          ///< Parsed from the response head, if there is one.
+  http::fields mHead;           ///< Headers for the caller, if a response head was read.
+  upstream_ptr mConnection;     ///< Carries the body, if a response head was read.
+  bool mTimedOut = false;       ///< The send hit its time limit.
+  bool mConnectionLost = false; ///< The connection ended before the response did.
 };
 
-/** @return whether a field concerns one connection only. */
+/** @return whether a header is hop-by-hop. */
 bool
 IsHopByHopHeader(std::string_view aName);
 
-/** @return the names that a Connection field lists, in lower case. */
+/** @return the header names listed in Connection headers, in lower case. */
 std::vector<std::string>
 ConnectionHeaderTokens(const http::fields& aHead);
 
-/** @return the head to send for a caller's request, as text. */
+/** @return the request to send to a runner for a caller's request. */
 template<wire_format Wire>
 upstream_request
 BuildUpstreamRequest(const caller_exchange& aExchange, const send_plan& aPlan)
@@ -90,14 +90,14 @@
   return built;
 }
 
-/** @return a runner's fields as they go to the caller. */
+/** @return the headers of a runner's response that are forwarded to the caller. */
 http::fields
 FieldsForCaller(const http::fields& aHead);
 
 /**
- * Sends a request to a runner and reads the head of the answer.
+ * Sends a request to a runner and reads the response head.
  * @param aOnlyProven see upstream_pool::Take().
- * @param aLimit longest wait for the head.
+ * @param aLimit longest wait for the response head.
  */
 template<wire_format Wire>
 asio::awaitable<upstream_response>
@@ -132,7 +132,7 @@
   }
   answer.mFacts = Wire::ReadAnswer(*head.value(), head.value()->result_int());
   if (!answer.mFacts.mRequestId.empty() && answer.mFacts.mRequestId != aRequestId) {
-    connection->Abort(); // An answer to another request, in place of ours.
+    connection->Abort(); // The response belongs to another request.
     co_return answer;
   }
   connection->mKeepFor = answer.mFacts.mKeepFor;
@@ -147,7 +147,7 @@
   co_return answer;
 }
 
-/** @return what a send that gave no answer says of the runner. */
+/** @return what a send without a usable response says about the runner. */
 inline send_outcome
 OutcomeOf(const upstream_response& aAnswer)
 {
@@ -161,11 +161,11 @@
   return silent ? send_outcome::eUnreachable : send_outcome::eFailed;
 }
 
-/** @return what a caller's request is known by among tries. */
+/** @return the fingerprint that identifies a caller's request across its retries. */
 request_fingerprint
 FingerprintOf(const caller_exchange& aExchange, const request_facts& aFacts);
 
-/** Gives a connection back: from then on it's not this caller's to end. */
+/** Returns a connection to the pool. A disconnect of the caller no longer aborts it. */
 inline void
 ReturnConnection(forward_state& aState,
                  caller_exchange& aExchange,
@@ -177,9 +177,9 @@
 }
 
 /**
- * Reads what is left of an answer's body.
- * @param aMost the body may hold this many bytes.
- * @return the body, eBodyTooLarge with its start in @p aOut, or why it ended.
+ * Reads the rest of a response body.
+ * @param aMaxBytes limit of the body's size.
+ * @return success, eBodyTooLarge with the start of the body in @p aOut, or the error that ended it.
  */
 asio::awaitable<result<void>>
 ReadBody(upstream_connection& aConnection,
@@ -187,7 +187,10 @@
          std::size_t aMaxBytes,
          duration aLimit);
 
-/** Answers that the request didn't run, and when to come back. */
+/**
+ * Sends an error response.
+ * @param aRetryAfter when the caller may retry.
+ */
 template<wire_format Wire>
 asio::awaitable<void>
 Refuse(caller_exchange& aExchange,
--- a/tests/platform/notice_test.cpp
+++ b/tests/platform/notice_test.cpp
@@ -1,16 +1,16 @@
 /**
  * @file notice_test.cpp
- * What runners say of themselves in their answers is heeded, with real processes.
+ * Notices that runners give in their responses (leaving, backing off) are heeded, with real
+ * processes.
  *
- * Callers saw nothing at first: a runner of three told in each of its answers that it was about to
- * leave, and was sent requests for another six seconds by all daemons. The store, where it would
- * have said the same, answered nobody for fourteen seconds; the list there was the only place from
- * which a daemon learned of a leave. The runner's time to leave would have ended with those
- * requests on it.
+ * Guards against sending requests to a runner that announces its leave only in its responses. While
+ * the store was unavailable for fourteen seconds, all daemons kept sending requests to a runner of
+ * three for six seconds after its first announcement, because they learned of leaves from the
+ * store's list alone. Requests running when the runner's leave time ended would have been lost.
  *
- * Evidence: no daemon wrote that a runner left, its metric of leaving runners stayed at 0, and the
- * age of its list grew with each answer; with the line runner_notice in place, known_to_leave is
- * false in it while further requests go there.
+ * Symptoms: no daemon logged that the runner left, its metric of leaving runners stayed at 0, and
+ * the age of its runner list grew with each response. In the log line runner_notice, known_to_leave
+ * stays false while further requests go to the runner.
  */
 #include "tests/platform/fleet_bed.h"
 
@@ -23,11 +23,15 @@
 
 namespace {
 
-/** Requests by which a runner that may be chosen is chosen at least once: of two alike, each is
- * passed over in all of them in one case of a million. */
+/**
+ * Requests after which a runner that may be chosen was chosen at least once: with two equal
+ * runners, the chance that one is passed over in all of them is one in a million.
+ */
 constexpr int kRequests = 20;
-/** The latest that a final refusal may come: a quarter of the latency target of 0.3 s, and the way
- * of a busy machine. */
+/**
+ * Latest time of a final refusal, in ms: a quarter of the latency target of 0.3 s, plus the delay
+ * of a busy machine.
+ */
 constexpr std::int64_t kRefusalMs = 175;
 
 } // namespace
@@ -37,7 +41,10 @@
   fleet_bed mBed;   ///< The deployment.
   int mRequest = 0; ///< Number of the last request.
 
-  /** Sends a repeatable request. @return the runner that saw it last. */
+  /**
+   * Sends a repeatable request.
+   * @return the runner that saw it last.
+   */
   std::string SendRequest(std::size_t aDaemon = 0)
   {
     const std::string id = "r" + std::to_string(++mRequest);
@@ -46,7 +53,10 @@
     return seen.empty() ? "" : seen.back().value("runner", "");
   }
 
-  /** Asks until a runner was met. @return whether it was. */
+  /**
+   * Sends requests until a runner gets one.
+   * @return whether it did.
+   */
   bool SendUntilSeenBy(const std::string& aRunner)
   {
     for (int i = 0; i < kRequests; ++i) {
@@ -57,7 +67,7 @@
     return false;
   }
 
-  /** @return how many of some requests a runner sees. */
+  /** @return how many of kRequests requests reach a runner. */
   int CountRequestsAt(const std::string& aRunner, std::size_t aDaemon = 0)
   {
     int count = 0;
@@ -67,7 +77,10 @@
     return count;
   }
 
-  /** Has a generation run. @return the engine that read its prompt, or that generated. */
+  /**
+   * Runs a generation.
+   * @return the engine that processed its prompt, or that decoded.
+   */
   std::string Generate(const std::string& aRole)
   {
     const std::string id = "g" + std::to_string(++mRequest);
@@ -82,14 +95,16 @@
     return engine;
   }
 
-  /** Lets the engine say that it leaves which is chosen while none does. @return how many of some
-   * generations go there once it has said so. */
+  /**
+   * Lets the engine that is usually chosen announce its leave.
+   * @return how many later generations go there.
+   */
   int CountRunsAfterLeave(const std::string& aRole)
   {
     const std::string usual = Generate(aRole);
     CHECK_TRUE(usual != "");
     mBed.SetRunner(usual, { { "leaves", true } });
-    Generate(aRole); // The answers to this one say so.
+    Generate(aRole); // The responses to this one announce it.
     int count = 0;
     for (int i = 0; i < kRequests / 2; ++i) {
       count += Generate(aRole) == usual ? 1 : 0;
@@ -97,7 +112,7 @@
     return count;
   }
 
-  answer mAnswer; ///< Of the last request.
+  answer mAnswer; ///< Response to the last request.
 };
 
 TEST(notices, ARunnerThatAnnouncesItsLeaveGetsNoMoreRequests)
@@ -160,7 +175,7 @@
   for (const char* const runner : { "desk-1", "desk-2" }) {
     mBed.SetRunner(runner, { { "mode", "refuse" }, { "retry_after", "3" } });
   }
-  for (int i = 0; i < 2; ++i) { // Both are met: a request goes to a second runner.
+  for (int i = 0; i < 2; ++i) { // Reaches both: a refused request goes to a second runner.
     SendRequest();
   }
   const std::int64_t began = NowMs();
@@ -169,7 +184,9 @@
   CHECK_EQUAL(503U, mAnswer.mStatus);
   CHECK_TRUE(took < kRefusalMs);
   const double back = std::stod(mAnswer.mHeaders.at("retry-after"));
-  CHECK_TRUE(back > 1.5 && back < 6.0); // Its half second to one and a half, of three seconds.
+  CHECK_TRUE(
+    back > 1.5 &&
+    back < 6.0); // The stated three seconds, spread by a factor of 0.5 to 1.5 and the base delay.
 }
 
 TEST(notices, ABackingOffEngineIsNotAskedForReservations)
@@ -188,7 +205,8 @@
   const int before = asked();
   for (int i = 0; i < kRequests / 2; ++i) {
     Generate("decode");
-    std::this_thread::sleep_for(std::chrono::milliseconds(150)); // A full engine rests for less.
+    std::this_thread::sleep_for(
+      std::chrono::milliseconds(150)); // Longer than the backoff after a refusal of a full engine.
   }
   LONGS_EQUAL(before + 1, asked());
 }
--- a/tests/platform/placer_test.cpp
+++ b/tests/platform/placer_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file placer_test.cpp
- * The daemon that places generations for all is frozen, killed and stopped: callers at the others
- * are served as before. Real daemons on the stand-in of the platform.
+ * The daemon that places generations for all others is suspended, killed or stopped: callers of the
+ * other daemons must be served as before. Real daemons on the platform stand-in.
  */
 #include "tests/platform/fleet_bed.h"
 
@@ -15,12 +15,17 @@
 
 namespace {
 
-/** Until a daemon that has heard the others places for them: a digest of each, and a look; ms. */
+/**
+ * Time in ms until a daemon that has heard the others places for them: one digest of each daemon
+ * and one check.
+ */
 constexpr int kPlacerChangeMs = 3000;
-/** A caller's answer begins and ends within this, with engines that take no time of their own,
- * while the daemon that places says nothing: it's waited for once, for 60 ms; ms. */
+/**
+ * Limit in ms of a caller's whole response, with engines that take no time of their own, while the
+ * placer is silent: it's waited for once, for 60 ms.
+ */
 constexpr int kPromptMs = 500;
-/** Calls in a row. */
+/** Consecutive calls. */
 constexpr int kCalls = 5;
 
 void
@@ -33,7 +38,9 @@
 
 TEST_GROUP(placers)
 {
-  /** Starts three daemons of one hall: the first by name places, the second comes next. */
+  /**
+   * Starts three daemons in one data hall: the first by name places, the second is next in order.
+   */
   void StartThree()
   {
     mBed.StartUsual();
@@ -44,7 +51,7 @@
     }
     SleepMs(kPlacerChangeMs);
   }
-  /** Has callers at a daemon served one after the other, each soon. */
+  /** Checks that consecutive calls to a daemon are served within kPromptMs. */
   void CheckServedPromptly(std::size_t aDaemon)
   {
     for (int call = 0; call < kCalls; ++call) {
@@ -54,12 +61,12 @@
         Call(mBed.Callers(aDaemon), "POST", "/turns/a", "prompt", GenerationHeaders(id, 1000, 2));
       CHECK_EQUAL(200U, got.mStatus);
       CHECK(boot_clock_source{}.Now() - began < std::chrono::milliseconds(kPromptMs));
-      LONGS_EQUAL(2, mBed.Seen(id).size()); // One read and one run, whoever placed it.
+      LONGS_EQUAL(2, mBed.Seen(id).size()); // One prefill and one run, whichever daemon placed it.
     }
   }
 
   fleet_bed mBed;        ///< The deployment.
-  int mRequestCount = 0; ///< Requests so far.
+  int mRequestCount = 0; ///< Requests sent so far.
 };
 
 TEST(placers, OneDaemonPlacesForAllOthers)
@@ -77,7 +84,7 @@
   mBed.Daemon(0).Signal(SIGSTOP);
   CheckServedPromptly(2);
   CHECK(mBed.Daemon(2).WaitForLine("placer_silent") != "");
-  CHECK(mBed.Daemon(2).WaitForLine("\"placed_alone\":false") != ""); // By the second one.
+  CHECK(mBed.Daemon(2).WaitForLine("\"placed_alone\":false") != ""); // Placed by the second daemon.
   mBed.Daemon(0).Signal(SIGCONT);
   SleepMs(kPlacerChangeMs);
   CheckServedPromptly(1);
--- a/tests/platform/stop_late_test.cpp
+++ b/tests/platform/stop_late_test.cpp
@@ -1,8 +1,8 @@
 /**
  * @file stop_late_test.cpp
- * A planned stop and requests that come late in it: on kept connections, one behind the other, with
- * slow bytes, and at a process that stood still around the signal. What a runner ran is answered
- * whole; what isn't run is answered or closed at once; the process ends by itself in time.
+ * Graceful stop with requests that arrive late: on reused connections, pipelined, with slow bytes,
+ * and at a process that was suspended around the signal. Requests that a runner ran are answered
+ * completely, others are answered or closed at once, and the process exits by itself in time.
  */
 #include "tests/platform/fleet_bed.h"
 
@@ -21,56 +21,63 @@
 
 namespace {
 
-/** `grace-s` of the settings in fleet_bed, in ms: a process is killed so long after SIGTERM. */
+/** `grace-s` of the settings in fleet_bed, in ms: the process is killed this long after SIGTERM. */
 constexpr std::int64_t kGraceMs = 8000;
-/** Start of the last sixth of the grace, in ms after SIGTERM: what runs then may be cut (LOST). */
+/**
+ * Start of the last sixth of the grace period, in ms after SIGTERM: from then on running requests
+ * may be cut (LOST).
+ */
 constexpr std::int64_t kLastSixthMs = kGraceMs * 5 / 6;
-/** The latest that a request may be sent that is cut by the stop, in ms after SIGTERM (LOST). */
+/** Latest send time of a request that the stop may cut, in ms after SIGTERM (LOST). */
 constexpr std::int64_t kSentLateMs = 3000;
-/** `loss-slack-ms` in the rules: a request that isn't run is closed within this many ms of its last
- * byte, or answered. */
+/**
+ * `loss-slack-ms` in the rules: a request that isn't run is answered, or closed within this many ms
+ * of its last byte.
+ */
 constexpr std::int64_t kLossSlackMs = 200;
-/** The daemon takes requests for this many ms after SIGTERM (kBalancerRemovalDelay). */
+/** The daemon accepts requests for this many ms after SIGTERM (kBalancerRemovalDelay). */
 constexpr std::int64_t kAcceptsMs = 2600;
-/** A moment after requests stop being taken and after kSentLateMs, in ms after SIGTERM. */
+/** A time after the daemon stops accepting requests and after kSentLateMs, in ms after SIGTERM. */
 constexpr std::int64_t kLateMs = 3300;
-/** A moment at which requests are still taken, in ms after SIGTERM. */
+/** A time at which requests are still accepted, in ms after SIGTERM. */
 constexpr std::int64_t kEarlyMs = 1000;
-/** Just before a moment or just after it, in ms: beyond the 50 ms between two looks of the stop. */
+/** Distance before or after a limit, in ms: more than the 50 ms between two checks of the stop. */
 constexpr std::int64_t kMarginMs = 100;
-/** Time between signals in a stop, in ms. */
+/** Time between signals during a stop, in ms. */
 constexpr std::int64_t kBetweenSignalsMs = 500;
-/** How long a process stands still, in ms: three times the margin of its stop (kStopMargin). */
+/** Length of a stall, in ms: three times the stop margin (kStopMargin). */
 constexpr std::int64_t kStallMs = 1500;
-/** The same where it can end in time and yet cut nothing before the last sixth of the grace,
- * whenever the signal came meanwhile, in ms: under a sixth of the grace, with room for the 250 ms
- * between two signs of its running. */
+/**
+ * Length of a stall after which the process can exit in time and yet cut nothing before the last
+ * sixth of the grace period, whenever the signal arrived during the stall, in ms: under a sixth of
+ * the grace period, with room for the 250 ms between two passes.
+ */
 constexpr std::int64_t kShortStallMs = 800;
-/** Time between the events of a stream, in ms, as the engines are set here. */
+/** Time between the events of a stream, in ms, as set at the engines here. */
 constexpr int kEventMs = 100;
-/** Time that a plain request takes, in ms, as the runners are set here. */
+/** Duration of a plain request, in ms, as set at the runners here. */
 constexpr int kPlainMs = 50;
-/** Events of a stream that ends well before the stop whenever it's taken (0.5 s). */
+/** Events of a stream that ends well before the stop whenever it's accepted (0.5 s). */
 constexpr int kShortEvents = 5;
-/** Events of a stream that the stop cuts if it's taken kLateMs after SIGTERM or later (6 s). */
+/** Events of a stream that the stop cuts if it's accepted kLateMs after SIGTERM or later (6 s). */
 constexpr int kLongEvents = 60;
 /** Events of a stream that the stop cuts though it began before SIGTERM (12 s). */
 constexpr int kEndlessEvents = 120;
-/** Tokens of the prompts. */
+/** Tokens of each prompt. */
 constexpr int kPromptTokens = 1000;
-/** The longest that a caller waits for an answer, in ms: beyond the longest stop. */
+/** Longest wait of a caller for a response, in ms: longer than the longest stop. */
 constexpr int kResponseTimeoutMs = 15000;
-/** Rest of a caller that couldn't connect, in ms. */
+/** Delay of a caller after a failed connection, in ms. */
 constexpr int kReconnectDelayMs = 20;
 
-/** What became of a request. */
+/** Outcome of one request. */
 struct request_outcome
 {
-  std::string mId;                ///< Its id.
+  std::string mId;                ///< The request's id.
   std::int64_t mSentAt = 0;       ///< When its last byte was sent, in ms.
-  std::int64_t mEndAt = 0;        ///< When its answer or its connection ended, in ms.
-  unsigned mStatus = 0;           ///< Of its whole answer; 0: there was none.
-  bool mReusedConnection = false; ///< It wasn't the first on its connection.
+  std::int64_t mEndAt = 0;        ///< When its response or its connection ended, in ms.
+  unsigned mStatus = 0;           ///< Status of its complete response; 0: there was none.
+  bool mReusedConnection = false; ///< It wasn't the first request on its connection.
 };
 
 /** @return the bytes of a request. */
@@ -84,7 +91,7 @@
   return text + "Content-Length: " + std::to_string(aBody.size()) + "\r\n\r\n" + aBody;
 }
 
-/** @return the bytes of a resumable stream of so many events. */
+/** @return the bytes of a request for a resumable stream. */
 std::string
 StreamText(const std::string& aId, int aEvents, const std::string& aBody = "")
 {
@@ -104,7 +111,7 @@
   std::this_thread::sleep_for(std::chrono::milliseconds(std::max<std::int64_t>(0, aMs - NowMs())));
 }
 
-/** A caller's connection, on which it sends what it likes and reads answer after answer. */
+/** A caller's persistent connection. */
 class persistent_connection
 {
 public:
@@ -121,17 +128,17 @@
   /** Sends bytes. */
   void Send(const std::string& aBytes)
   {
-    boost::system::error_code error; // The read tells of a connection that has ended.
+    boost::system::error_code error; // A later read reports a closed connection.
     asio::write(mStream.socket(), asio::buffer(aBytes), error);
   }
-  /** Sends a whole request, or the rest of one. */
+  /** Sends a whole request, or the rest of one, and records the time. */
   void Send(const std::string& aBytes, request_outcome& aOutcome)
   {
     aOutcome.mReusedConnection = mSends++ > 0;
     Send(aBytes);
     aOutcome.mSentAt = NowMs();
   }
-  /** Reads the next answer up to its end, or up to the connection's. */
+  /** Reads the next response until it or the connection ends. */
   void Read(request_outcome& aOutcome)
   {
     asio::co_spawn(mIo, ReadOne(aOutcome), asio::detached);
@@ -154,9 +161,9 @@
 
   asio::io_context mIo{ 1 };        ///< Runs the reads.
   beast::tcp_stream mStream{ mIo }; ///< To the daemon.
-  beast::flat_buffer mBuffer;       ///< Bytes of the next answer.
-  bool mOpen = false;               ///< The connection goes on.
-  int mSends = 0;                   ///< Whole requests so far.
+  beast::flat_buffer mBuffer;       ///< Bytes of the next response.
+  bool mOpen = false;               ///< The connection is open.
+  int mSends = 0;                   ///< Complete requests sent.
 };
 
 } // namespace
@@ -175,7 +182,7 @@
     }
   }
 
-  /** @return whether a runner ran a request; reading of its prompt isn't a run. */
+  /** @return whether a runner ran a request; a prefill isn't a run. */
   bool Ran(const std::string& aId)
   {
     for (const json& one : mBed.Seen(aId)) {
@@ -198,7 +205,7 @@
     return NowMs() - mSignalAt.load();
   }
 
-  /** @return what is wrong with a request that the stop has no excuse for; empty if nothing is. */
+  /** @return a description of a failure that the stop doesn't excuse; empty if there's none. */
   std::string UnexcusedFailure(const request_outcome& aOutcome)
   {
     const std::string description =
@@ -222,7 +229,7 @@
     }
   }
 
-  /** Waits for the process's own end, before it would be killed. */
+  /** Checks that the process exits by itself before it would be killed. */
   void CheckEnd()
   {
     const int code = mBed.Daemon().WaitForExit();
@@ -231,7 +238,7 @@
     CHECK_TRUE_TEXT(end < kGraceMs, ("ended at " + std::to_string(end) + " ms").c_str());
   }
 
-  /** Begins a stream on a connection and waits until an engine runs it. */
+  /** Starts a stream on a connection and waits until an engine runs it. */
   void BeginStream(persistent_connection & aConnection, request_outcome & aOutcome, int aEvents)
   {
     aConnection.Send(StreamText(aOutcome.mId, aEvents), aOutcome);
@@ -239,8 +246,8 @@
   }
 
   /**
-   * A caller that sends its next request the moment an answer ends, until the process has gone.
-   * @param aFirst events of its first stream; it sends plain requests only if there are none.
+   * A caller that sends its next request as soon as a response ends, until the process has exited.
+   * @param aFirst events of its first stream; 0: it sends plain requests only.
    */
   void SendUntilExit(const std::string& aName, int aFirst, std::vector<request_outcome>& aOutcomes)
   {
@@ -255,7 +262,7 @@
       }
       request_outcome one;
       one.mId = aName + "-" + std::to_string(number);
-      // Whatever is taken in time ends in time; whatever is taken late would be cut.
+      // A stream accepted in time ends in time; one accepted late would be cut.
       const bool late = mSignalAt != 0 && SinceSignal() > kSentLateMs;
       const int events = number == 0 ? aFirst : late ? kLongEvents : kShortEvents;
       connection->Send(aFirst == 0 ? PlainText(one.mId) : StreamText(one.mId, events), one);
@@ -266,12 +273,12 @@
 
   fleet_bed mBed;                           ///< The deployment.
   std::atomic<std::int64_t> mSignalAt{ 0 }; ///< When SIGTERM was sent, in ms; 0: not yet.
-  std::atomic<bool> mProcessEnded{ false }; ///< The process has ended.
+  std::atomic<bool> mProcessEnded{ false }; ///< The process has exited.
 };
 
-// A request that a caller sent behind another on its connection was read while that one's stream
-// ran. When the stream ended late in a planned stop, the connection was closed without an answer,
-// seconds after the request.
+// Guards against closing a connection without an answer, seconds after the request: it was
+// pipelined behind a stream, read while that ran, and dropped when the stream ended late in the
+// stop.
 TEST(stop_late, ARequestPipelinedBehindAStreamIsAnswered)
 {
   Start();
@@ -301,17 +308,17 @@
   CHECK_EQUAL("", UnexcusedFailure(sentEarly) + UnexcusedFailure(sentLate));
 }
 
-// A stream that began before the stop left its connection open. Its caller's next request came
-// between two closings of idle connections, seconds after connections were no longer taken, and was
-// cut by the end of the stop.
+// Guards against cutting a request on a connection that a stream from before the stop left open. It
+// arrived between two closings of idle connections, seconds after the daemon stopped accepting
+// connections, and was run until the end of the stop.
 TEST(stop_late, RequestsSentUntilTheProcessExitsAreNotRunAndCut)
 {
   constexpr int kStreams = 9;      // They end from 2.9 s to 7 s after the signal.
-  constexpr int kFirstEvents = 30; // Of the shortest.
-  constexpr int kEventsApart = 5;  // Between their lengths.
+  constexpr int kFirstEvents = 30; // Events of the shortest stream.
+  constexpr int kEventsApart = 5;  // Difference between their lengths.
   constexpr int kOtherCallers = 4; // Callers of short streams, and as many of plain requests.
   constexpr std::size_t kMinLateRequests =
-    5; // Late requests on kept connections, or nothing was tried.
+    5; // Late requests on reused connections; with fewer the test proves nothing.
   Start();
   std::vector<std::vector<request_outcome>> outcomes(kStreams + 2 * kOtherCallers);
   std::vector<std::thread> callers;
@@ -351,8 +358,8 @@
   CHECK(lateOnReused >= kMinLateRequests);
 }
 
-// A process that stood still got SIGTERM meanwhile and counted its stop from the moment at which it
-// ran again: it would have been killed before its own end.
+// Guards against counting the stop from the moment a suspended process resumes: if SIGTERM arrived
+// meanwhile, it would be killed before it exits.
 TEST(stop_late, AProcessStalledAtTheSignalExitsInTime)
 {
   Start();
@@ -365,13 +372,13 @@
   mBed.Daemon().Signal(SIGCONT);
   connection.Read(endless);
   CheckEnd();
-  // The runner was at work in the last sixth of the grace: the only excuse for the cut.
+  // The only excuse for the cut: the run reached the last sixth of the grace period.
   CHECK_EQUAL(0U, endless.mStatus);
   CHECK(endless.mEndAt - mSignalAt >= kLastSixthMs);
 }
 
-// The other way round: a stop that counts from before the standstill must not cut a stream too
-// early if the signal came at the end of it.
+// The opposite case: a stop that counts from before the stall must not cut a stream too early if
+// the signal arrived at the end of the stall.
 TEST(stop_late, ASignalAtTheEndOfAStallCutsNothingEarly)
 {
   Start();
@@ -389,12 +396,12 @@
   CHECK(endless.mEndAt - mSignalAt >= kLastSixthMs);
 }
 
-// A process that stood still got SIGTERM meanwhile, and took requests by its own count of time:
-// those were sent too late to be excused when the stop cut them.
+// Guards against accepting requests by the time since resuming: a process suspended at SIGTERM
+// accepted requests that were sent too late to excuse the cut.
 TEST(stop_late, AProcessStalledAtTheSignalAcceptsNothingLate)
 {
   Start();
-  persistent_connection running(mBed.Callers()); // The process isn't gone before the late request.
+  persistent_connection running(mBed.Callers()); // Keeps the process alive until the late request.
   request_outcome before{ "before" };
   BeginStream(running, before, kLongEvents);
   mBed.Daemon().Signal(SIGSTOP);
@@ -414,8 +421,9 @@
   CHECK_EQUAL(200U, before.mStatus);
 }
 
-// A process stood still across the moment at which it stops taking requests. What had arrived by
-// the time it ran again was taken before the passing of that moment was noticed.
+// Guards against accepting what arrived during a stall across the moment at which requests are no
+// longer accepted: on resuming it was accepted before the daemon noticed that the moment had
+// passed.
 TEST(stop_late, AProcessStalledDuringTheStopAcceptsNothingLate)
 {
   Start();
@@ -443,8 +451,8 @@
   CHECK_EQUAL("", UnexcusedFailure(onResting) + UnexcusedFailure(onFresh));
 }
 
-// The head of a request came while requests were taken and its last bytes long after: it was run,
-// and cut by the end of the stop.
+// Guards against running a request whose head arrived in time but whose last bytes arrived long
+// after: the end of the stop cut it.
 TEST(stop_late, ARequestWhoseBodyEndsLateIsNotRunAndCut)
 {
   Start();
@@ -463,8 +471,8 @@
   CHECK_EQUAL("", UnexcusedFailure(slow));
 }
 
-// The first bytes of a request came while requests were taken and the end of its head long after:
-// it was run, and cut by the end of the stop.
+// Guards against running a request whose first bytes arrived in time but whose head ended long
+// after: the end of the stop cut it.
 TEST(stop_late, ARequestWhoseHeadEndsLateIsNotRunAndCut)
 {
   Start();
@@ -473,7 +481,7 @@
   const std::string text = StreamText(slow.mId, kLongEvents);
   const std::size_t rest = text.size() / 2;
   Stop();
-  // A head may take a second (`header-timeout-ms` of the bed).
+  // A head may take one second (`header-timeout-ms` in fleet_bed).
   SleepUntil(mSignalAt + kAcceptsMs - kMarginMs);
   connection.Send(text.substr(0, text.size() - rest));
   SleepUntil(mSignalAt + kSentLateMs + kMarginMs);
@@ -483,7 +491,7 @@
   CHECK_EQUAL("", UnexcusedFailure(slow));
 }
 
-// Further signals in a stop neither begin it anew nor make it longer.
+// Further signals during a stop neither restart nor extend it.
 TEST(stop_late, FurtherSignalsNeitherRestartNorExtendTheStop)
 {
   Start();
--- a/tests/platform/waiting_test.cpp
+++ b/tests/platform/waiting_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file waiting_test.cpp
- * Who waits for a place and for how long, as callers see it: real daemons on the stand-in of the
- * platform, engines that are silent or full for a while.
+ * Which requests wait for a placement and for how long, seen by callers: real daemons on the
+ * platform stand-in, with engines that are silent or full for a while.
  */
 #include "tests/platform/fleet_bed.h"
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-/** Engines have no room for so long: longer than a new caller may wait for a place; ms. */
+/** Time in ms during which engines have no room: longer than a new caller may wait. */
 constexpr int kFullForMs = 800;
-/** Engines of a full service have room for fewer tokens than any prompt has. */
+/** Free tokens of a full engine: fewer than any prompt has. */
 constexpr int kTooFewTokens = 10;
 
 } // namespace
@@ -52,10 +52,12 @@
   fleet_bed mBed{ true }; ///< The deployment; runners are behind proxies.
 };
 
-// An engine that has gone dark is asked for a place and says nothing. The others have room.
+// Guards against refusing a new caller because the first engine asked for a reservation doesn't
+// answer, although the others have room.
 TEST(waiting, ASilentEngineDoesNotGetANewCallerRefused)
 {
-  StartWith(Decode("hall-a"), Decode("hall-b")); // The one in the daemon's hall is asked first.
+  StartWith(Decode("hall-a"),
+            Decode("hall-b")); // The engine in the daemon's data hall is asked first.
   mBed.SetProxy("decode-1", { { "stall", 1 } });
   const answer got =
     Call(mBed.Callers(), "POST", "/turns/a", "prompt", GenerationHeaders("g1", 2000, 5));
@@ -63,8 +65,8 @@
   CHECK(mBed.Daemon().WaitForLine("\"reached\":false") != "");
 }
 
-// A caller whose stream broke comes back for the rest: it's late already, so it waits as one that
-// was refused does, instead of being refused with the engines full for a moment.
+// Guards against refusing a caller that resumes a broken stream while the engines are full for a
+// moment. It's late already, so it waits as a refused caller does that retries.
 TEST(waiting, AResumedStreamWaitsAsLongAsARetriedRequest)
 {
   StartWith(Decode("hall-a"), Decode("hall-a"));
@@ -83,7 +85,8 @@
   CHECK(mBed.Daemon().WaitForLine("\"returned\":true") != "");
 }
 
-// Without a word of an earlier try a caller is new, and hears at once that there's no room.
+// A request without signs of an earlier attempt is new, and is refused promptly when there's no
+// room.
 TEST(waiting, ANewCallerIsRefusedWhileTheEnginesAreFull)
 {
   StartWith(Decode("hall-a"), Decode("hall-a"));
--- a/tests/unit/forward_test.cpp
+++ b/tests/unit/forward_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file forward_test.cpp
- * What forwarding decides without I/O: routes, runners, budgets, events and messages.
+ * Forwarding decisions that need no I/O: routes, runners, retry budgets, events and messages.
  */
 #include "forward/event_splitter.h"
 #include "messages/place_message.h"
@@ -29,7 +29,7 @@
   return entry;
 }
 
-/** @return an entry of the life that was born at an instant, in ms. */
+/** @return an entry of the incarnation that started at an instant, in ms. */
 runner_entry
 Entry(const std::string& aName, std::uint64_t aBorn)
 {
@@ -118,7 +118,7 @@
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   CHECK_TRUE(mTable.NoteLeaves(RunnerIdOf("a")));
-  CHECK_FALSE(mTable.NoteLeaves(RunnerIdOf("a"))); // No news.
+  CHECK_FALSE(mTable.NoteLeaves(RunnerIdOf("a"))); // Already known.
   CHECK(Pick() == nullptr);
   runner_entry changed = Entry("a");
   changed.mSlots += 1;
@@ -134,7 +134,7 @@
   mTable.Apply(Listing(2, {}), kNow, false);
   mTable.Forget(kNow, false);
   CHECK(mTable.Find(RunnerIdOf("a")) == nullptr);
-  mTable.Apply(Listing(3, { Entry("a") }), kNow, false); // An entry of before is seen once more.
+  mTable.Apply(Listing(3, { Entry("a") }), kNow, false); // An outdated entry is seen once more.
   CHECK(Pick() == nullptr);
 }
 
@@ -168,7 +168,7 @@
   mTable.NoteChanging(former, kNow + 60s);
   mTable.Find(former)->mUnderWay = 7;
   const auto changed = mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, true);
-  LONGS_EQUAL(2, changed.size()); // The one that ended and the one that began.
+  LONGS_EQUAL(2, changed.size()); // The former incarnation ended and the new one began.
   CHECK_TRUE(mTable.Find(former)->mGone);
   const runner_state* const now = Pick();
   CHECK(now != nullptr && now->mId == RunnerIdOf("a", 200));
@@ -185,7 +185,7 @@
   mTable.NoteQuiet(former, kNow + 60s);
   mTable.NoteOutcome(former, send_outcome::eUnreachable, kNow);
   CHECK(Pick() != nullptr);
-  mTable.Apply(Listing(3, { Entry("a", 100) }), kNow, false); // An entry of before.
+  mTable.Apply(Listing(3, { Entry("a", 100) }), kNow, false); // An outdated entry.
   CHECK(Pick() != nullptr && Pick()->mEntry.mBorn == 200);
 }
 
@@ -243,7 +243,7 @@
   mTable.Forget(kNow, false);
   mTable.Apply(Listing(5, { Entry("a"), Entry("b") }, 2), kNow, false);
   CHECK_EQUAL("b", Pick()->mEntry.mName);
-  mTable.Apply(Listing(6, { Entry("b") }, 2), kNow + 1s, true); // Its end is written again.
+  mTable.Apply(Listing(6, { Entry("b") }, 2), kNow + 1s, true); // The removal is written again.
   mTable.Forget(kNow + 3s, false);
   CHECK_EQUAL("b", Pick(kNow + 3s)->mEntry.mName);
   LONGS_EQUAL(1, mTable.Rows().size());
@@ -331,7 +331,7 @@
   CHECK(mTable.Find(RunnerIdOf("r3")) != nullptr);
   CHECK_TRUE(mTable.Find(RunnerIdOf("r1"))->mGone);
   CHECK_FALSE(mTable.Find(RunnerIdOf("r2"))->mGone);
-  // Once more, and from a position that this table hasn't reached.
+  // The same changes again, then changes from a position that this table hasn't reached.
   LONGS_EQUAL(0, mTable.ApplyChanges(changes, 3s, false).size());
   changes.mFrom = { 0, 15 };
   changes.mTo = { 0, 20 };
@@ -350,7 +350,8 @@
   changes.mListed[0].mLeaving = true;
   mTable.ApplyChanges(changes, 2s, false);
   CHECK_FALSE(mTable.TakesWork(*mTable.Find(RunnerIdOf("r1")), 2s));
-  mTable.Apply(Listing(10, { Entry("r1") }), 3s, false); // An older read of its own.
+  mTable.Apply(
+    Listing(10, { Entry("r1") }), 3s, false); // An older listing that this daemon read itself.
   CHECK_FALSE(mTable.TakesWork(*mTable.Find(RunnerIdOf("r1")), 3s));
 }
 
@@ -466,7 +467,7 @@
   for (int i = 0; i < 100; ++i) {
     taken += budget.Take(kNow, 2.0) ? 1 : 0;
   }
-  // An eighth of the allowance, of which half may go at once, by two each.
+  // An eighth of the allowance, half of which may be used at once, at two sends each.
   CHECK(taken <= 2);
   CHECK(taken >= 1);
 }
@@ -555,7 +556,7 @@
   CHECK_FALSE(DecodeRunMessage("", kNow).has_value());
 }
 
-// Daemons' ports aren't protected: whatever comes there must end no daemon.
+// Daemons' ports aren't protected: no input may crash a daemon.
 TEST(run_messages, DeeplyNestedBytesDecodeToNothing)
 {
   for (const std::size_t depth : { 20U, 1000U, 65000U }) {
