--- a/src/forward/caller_session.cpp
+++ b/src/forward/caller_session.cpp
@@ -1,6 +1,6 @@
 /**
  * @file caller_session.cpp
- * Reading of callers' requests and writing of answers.
+ * Reads callers' requests and writes responses.
  */
 #include "forward/caller_session.h"
 
--- a/src/forward/upstream_send.h
+++ b/src/forward/upstream_send.h
@@ -188,8 +188,8 @@
          duration aLimit);
 
 /**
- * Sends an error response.
- * @param aRetryAfter when the caller may retry.
+ * Sends an error response; status 503 tells that the request didn't run.
+ * @param aRetryAfter when the caller may retry; 0: not stated.
  */
 template<wire_format Wire>
 asio::awaitable<void>
