--- a/src/state/forward_state.h
+++ b/src/state/forward_state.h
@@ -1,7 +1,7 @@
 /**
  * @file forward_state.h
- * What the parts of a forwarding daemon share: configuration, runners, runs, connections, budgets.
- * All of it is used on one thread.
+ * State that the components of a forwarding daemon share: configuration, runners, runs, connections
+ * and retry budgets. Everything is used on one thread.
  */
 #pragma once
 
@@ -21,12 +21,14 @@
 
 namespace dunehook {
 
-/** Asks a daemon that places. The second argument tells whether the caller has left; no answer
- * means that this daemon decides by itself. */
+/**
+ * Asks a daemon that places generations. The second argument tells whether the caller has
+ * disconnected; an empty result means that this daemon chooses by itself.
+ */
 using ask_placer_callback =
   std::function<asio::awaitable<std::optional<place_reply>>(place_question, std::function<bool()>)>;
 
-/** The shared state. */
+/** The shared state of a forwarding daemon. */
 struct forward_state
 {
   forward_state(asio::io_context& aIo, gateway_settings aSettings)
@@ -42,9 +44,9 @@
   }
 
   instant Now() const { return boot_clock_source{}.Now(); }
-  /** @return a random number from 0 up to 1. */
+  /** @return a random number from 0 to below 1. */
   double RandomFraction() { return std::uniform_real_distribution<double>(0.0, 1.0)(mRandom); }
-  /** @return this daemon's budget of repeats for a service. */
+  /** @return this daemon's retry budget for a service. */
   retry_budget& BudgetOf(const std::string& aService)
   {
     const auto daemons = static_cast<double>(mMaxDaemonsHeard);
@@ -52,7 +54,8 @@
   }
 
   /**
-   * Writes a line on a decision that touches a request, with the versions that it rests on.
+   * Logs a decision about a request, with the versions of the configuration and the runner list
+   * that it's based on.
    * @param aLevel eInfo for a good outcome, eWarning for a failure or refusal.
    */
   void LogDecision(log_level aLevel,
@@ -67,7 +70,9 @@
     LogEvent(aLevel, aEvent, std::move(aFields));
   }
 
-  /** @return the traits of a service's engines, or nothing if it's not known or has none. */
+  /**
+   * @return the traits of a service's engines, or nothing if the service is unknown or has none.
+   */
   std::optional<engine_traits> TraitsOf(const std::string& aService) const
   {
     if (!mRoutes) {
@@ -78,8 +83,10 @@
     return found == services.end() ? std::nullopt : found->second.mEngines;
   }
 
-  /** Notes how a send to an engine ended, here and at the daemons that place.
-   * @param aMore what they are told beside. */
+  /**
+   * Records the outcome of a send to an engine, here and at the daemons that place.
+   * @param aMore message to them to which the outcome is added.
+   */
   void NoteEngine(service_runner_id aEngine, send_outcome aOutcome, run_message aMore = {})
   {
     mRunners.NoteOutcome(aEngine, aOutcome, Now());
@@ -87,9 +94,11 @@
     mTellPlacers(std::move(aMore));
   }
 
-  /** Notes what a runner said of itself in an answer, and writes a line if that's news. A leave is
-   * told to all daemons: without it each would send the runner a request to learn of it, and one
-   * that comes after the runner's time to leave is lost. */
+  /**
+   * Records what a runner stated about itself in a response, and logs it if it's new. A leave is
+   * sent to all daemons: otherwise each would learn of it only by sending the runner a request, and
+   * a request that arrives after the runner's leave time is lost.
+   */
   void NoteNotice(service_runner_id aRunner, const runner_notice& aNotice)
   {
     if (aNotice == runner_notice{}) {
@@ -118,15 +127,19 @@
     }
   }
 
-  /** Notes that an engine has reserved a place, here or for another daemon. */
+  /** Records that an engine granted a reservation, to this or another daemon. */
   void NoteReserved(service_runner_id aDecode)
   {
     mPlacement.NoteRoom(aDecode);
     mRunners.NoteReached(aDecode);
   }
 
-  /** Writes a line if the runners' list is about to be that of a store that came back from an older
-   * copy. @param aEra of the list. @return whether it is. */
+  /**
+   * Logs a store rollback: the runner list is about to be replaced by that of a store restored from
+   * an older copy.
+   * @param aEra store era of the new list.
+   * @return whether it is.
+   */
   bool LogStoreRollback(std::uint64_t aEra) const
   {
     const store_mark& known = mRunners.End();
@@ -139,7 +152,7 @@
     return true;
   }
 
-  /** Writes a line on each runner that changed, and ends what is kept for one that is gone. */
+  /** Logs each runner that changed, and closes the connections to those that are gone. */
   void NoteRunnersChanged(const std::vector<service_runner_id>& aChanged)
   {
     for (const service_runner_id id : aChanged) {
@@ -173,7 +186,9 @@
     }
   }
 
-  /** Notes how many daemons are heard. One that is cut off hears few, so the most ever heard count.
+  /**
+   * Records how many daemons are heard. A daemon that is cut off hears few, so the retry budget is
+   * divided by the most ever heard.
    */
   void NoteDaemons(std::size_t aHeard)
   {
@@ -186,36 +201,38 @@
     }
   }
 
-  /** The allowance is split among at least so many: a daemon that starts hears nobody yet. */
+  /**
+   * The retry budget is divided among at least this many daemons: one that starts hears nobody yet.
+   */
   static constexpr std::size_t kMinBudgetDaemons = 8;
 
-  asio::io_context& mIo;                        ///< Runs everything.
-  gateway_settings mSettings;                   ///< From the settings source.
-  std::shared_ptr<const route_table> mRoutes;   ///< Null until a configuration is known.
-  runner_table mRunners;                        ///< All runners.
-  refused_table mRefused;                       ///< Prompts refused by any daemon.
-  placement_table mPlacement;                   ///< All generations.
-  placement_queue mPlaceQueue;                  ///< Places for all daemons, if this one is asked.
-  crash_ledger mCrashes;                        ///< Requests that crash runners.
-  gateway_metrics mMetrics;                     ///< Counters and histograms.
-  instant mRunnersReadAt{ 0 };                  ///< When the runners were last read, or told.
-  upstream_pool mPool;                          ///< Connections to runners, for requests.
-  http_pool mSideCalls;                         ///< Connections to runners, for side calls.
-  std::map<std::string, retry_budget> mBudgets; ///< By service.
-  std::mt19937_64 mRandom;                      ///< Spreads choices and times.
-  store_position mPeerStorePosition;            ///< Newest that another daemon told.
-  instant mPeerStorePositionAt{ 0 };            ///< When it was told.
-  instant mPeerStoreSilentAt{ 0 };              ///< When another told that the store is silent.
-  bool mStoreRecentlyUnavailable = false;       ///< The store was away for this daemon lately.
-  std::size_t mMaxDaemonsHeard = kMinBudgetDaemons; ///< The most ever heard, or kMinBudgetDaemons.
-  std::size_t mDaemons = 1;                         ///< Daemons that take callers, as known.
-  bool mStopping = false;                           ///< A planned stop is under way.
-  instant mStopDeadline{ 0 };                       ///< End of the planned stop.
-  std::function<void(run_message)> mTellDaemons;    ///< Tells the other daemons.
-  std::function<void(run_message)> mTellPlacers;    ///< Tells those that place.
-  std::function<void(const crash_report&)> mReportCrash;  ///< Notes a crash and tells of it.
-  std::function<void(request_fingerprint)> mReportServed; ///< Notes a request as served whole.
-  ask_placer_callback mAskPlacer;                         ///< Asks one that places.
+  asio::io_context& mIo;                      ///< Event loop of the daemon.
+  gateway_settings mSettings;                 ///< Settings of this daemon.
+  std::shared_ptr<const route_table> mRoutes; ///< Null until a configuration is known.
+  runner_table mRunners;                      ///< All runners.
+  refused_table mRefused;                     ///< Prompts that any daemon refused recently.
+  placement_table mPlacement;  ///< Runs of all daemons and forecasts of engines' memory.
+  placement_queue mPlaceQueue; ///< Waiting placement requests of all daemons, if this one places.
+  crash_ledger mCrashes;       ///< Requests that crash runners.
+  gateway_metrics mMetrics;    ///< Counters and histograms.
+  instant mRunnersReadAt{ 0 }; ///< When the runner list was last read or received.
+  upstream_pool mPool;         ///< Connections to runners, for requests.
+  http_pool mSideCalls;        ///< Connections to runners, for side calls.
+  std::map<std::string, retry_budget> mBudgets; ///< Retry budget of each service.
+  std::mt19937_64 mRandom;                      ///< Source of RandomFraction().
+  store_position mPeerStorePosition; ///< Newest store position that another daemon reported.
+  instant mPeerStorePositionAt{ 0 }; ///< When mPeerStorePosition was reported.
+  instant mPeerStoreSilentAt{ 0 };   ///< When another daemon last reported the store as silent.
+  bool mStoreRecentlyUnavailable = false; ///< The store was unavailable to this daemon lately.
+  std::size_t mMaxDaemonsHeard = kMinBudgetDaemons;       ///< At least kMinBudgetDaemons.
+  std::size_t mDaemons = 1;                               ///< Known daemons that serve callers.
+  bool mStopping = false;                                 ///< A graceful stop is in progress.
+  instant mStopDeadline{ 0 };                             ///< Time limit of the graceful stop.
+  std::function<void(run_message)> mTellDaemons;          ///< Sends to all other daemons.
+  std::function<void(run_message)> mTellPlacers;          ///< Sends to the daemons that place.
+  std::function<void(const crash_report&)> mReportCrash;  ///< Records and sends a crash report.
+  std::function<void(request_fingerprint)> mReportServed; ///< Records a completed request.
+  ask_placer_callback mAskPlacer;                         ///< Asks a daemon that places.
 };
 
 } // namespace dunehook
--- a/src/state/gateway_metrics.cpp
+++ b/src/state/gateway_metrics.cpp
@@ -1,6 +1,6 @@
 /**
  * @file gateway_metrics.cpp
- * The families of metrics and their text.
+ * Metric families and their text format.
  */
 #include "state/gateway_metrics.h"
 
@@ -10,10 +10,10 @@
 
 namespace {
 
-/** Bounds in seconds, around the latency targets of 0.3 s and 0.9 s. */
+/** Histogram bounds in seconds, around the latency targets of 0.3 s and 0.9 s. */
 const prometheus::Histogram::BucketBoundaries kFirstAnswerBounds{ 0.05, 0.1, 0.2, 0.3, 0.5,
                                                                   0.7,  0.9, 1.5, 3.0, 10.0 };
-/** Bounds in seconds, around the target of 0.3 s. */
+/** Histogram bounds in seconds, around the target of 0.3 s. */
 const prometheus::Histogram::BucketBoundaries kLongestGapBounds{
   0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 3.0
 };
--- a/src/state/gateway_settings.h
+++ b/src/state/gateway_settings.h
@@ -1,6 +1,6 @@
 /**
  * @file gateway_settings.h
- * Settings of a daemon that forwards requests as an entry host. A settings source fills them.
+ * Settings of a forwarding daemon. A settings source fills them in.
  */
 #pragma once
 
@@ -14,25 +14,25 @@
 /** The settings; every time span and limit is checked to be positive. */
 struct gateway_settings
 {
-  std::string mName;               ///< Name of this host.
-  std::string mHall;               ///< Data hall it stands in.
-  endpoint mCallers;               ///< Where callers connect.
-  endpoint mReadiness;             ///< Where the balancer asks whether to send callers.
-  endpoint mMetrics;               ///< Where metrics are served; port 0: nowhere.
-  endpoint mPeers;                 ///< Where other daemons send datagrams and ask for state.
-  std::vector<std::string> mSeeds; ///< Addresses of some other hosts; may be out of date.
+  std::string mName;   ///< Name of this host.
+  std::string mHall;   ///< Data hall of this host.
+  endpoint mCallers;   ///< Listening address for callers.
+  endpoint mReadiness; ///< Listening address for the balancer's readiness checks.
+  endpoint mMetrics;   ///< Listening address for metrics; port 0: none.
+  endpoint mPeers;     ///< Address at which other daemons send datagrams and request state.
+  std::vector<std::string> mSeeds; ///< Addresses of some other hosts; may be outdated.
   endpoint mStore;                 ///< The store of configuration, runners and terms.
-  retry_limits mRetries;           ///< Repeats of all daemons together.
-  bool mFirstStart = false; ///< All daemons start for the first time: nobody was before them.
-  duration mLeaseTime = std::chrono::seconds(3); ///< A new term gives no orders before this.
-  duration mStopLimit = std::chrono::seconds(8); ///< Longest planned stop.
-  std::uint64_t mMemoryBytes = std::uint64_t{ 110 } << 20U; ///< Memory of the process.
-  std::uint32_t mMilliCores = 0; ///< Thousandths of a core that the process may use.
+  retry_limits mRetries;           ///< Retry limits of all daemons together.
+  bool mFirstStart = false;        ///< First start of all daemons: nobody held a term before.
+  duration mLeaseTime = std::chrono::seconds(3); ///< A new term issues no orders before this.
+  duration mStopLimit = std::chrono::seconds(8); ///< Time limit of a graceful stop.
+  std::uint64_t mMemoryBytes = std::uint64_t{ 110 } << 20U; ///< Memory limit in bytes.
+  std::uint32_t mMilliCores = 0; ///< CPU share of the process, in thousandths of a core.
   double mLinkMegabits = 100.0;  ///< Rate of the host's link, in Mbit/s.
-  placement_tuning mPlacement;   ///< Knobs of placement.
+  placement_tuning mPlacement;   ///< Tuning parameters of placement.
 };
 
-/** Settings read, and what is wrong with them. */
+/** Settings as read, and the faults found in them. */
 struct gateway_settings_report
 {
   gateway_settings mSettings; ///< Valid only if there are no findings.
