--- a/src/forward/caller_session.cpp
+++ b/src/forward/caller_session.cpp
@@ -280,8 +280,7 @@
 caller_listener::CloseIdle()
 {
   for (tcp::socket* const socket : mState.mIdleSockets) {
-    boost::system::error_code
-      ignored; // The session notices and closes.
+    boost::system::error_code ignored; // The session notices and closes.
     socket->shutdown(tcp::socket::shutdown_both, ignored);
   }
 }
--- a/src/forward/caller_session.h
+++ b/src/forward/caller_session.h
@@ -101,17 +101,16 @@
   asio::awaitable<bool> WriteAll(std::string_view aHead, std::string_view aBytes);
   std::string HeadText(unsigned aStatus, const http::fields& aHead) const;
 
-  beast::tcp_stream& mStream; ///< The caller's connection.
-  asio::ip::address
-    mCaller;             ///< The caller's host; still valid after a close.
-  request_type mRequest; ///< The request without its body.
+  beast::tcp_stream& mStream;               ///< The caller's connection.
+  asio::ip::address mCaller;                ///< The caller's host; still valid after a close.
+  request_type mRequest;                    ///< The request without its body.
   std::shared_ptr<const std::string> mBody; ///< The request's body.
   std::function<void()> mOnDisconnect;      ///< Called at most once.
   bool mKeepAlive;                          ///< Keep the connection open after the response.
   bool mChunked = false;                    ///< The response body is chunked.
-  bool mStarted = false;          ///< Sending of the response has begun.
-  bool mResponseComplete = false; ///< The response is complete.
-  bool mDisconnected = false;     ///< The caller disconnected or can't be written to.
+  bool mStarted = false;                    ///< Sending of the response has begun.
+  bool mResponseComplete = false;           ///< The response is complete.
+  bool mDisconnected = false;               ///< The caller disconnected or can't be written to.
 };
 
 using caller_exchange_ptr = std::shared_ptr<caller_exchange>;
