--- a/tests/platform/placer_test.cpp
+++ b/tests/platform/placer_test.cpp
@@ -24,7 +24,7 @@
  * Limit in ms of a caller's whole response, with engines that take no time of their own, while the
  * placer is silent: it's waited for once, for 60 ms.
  */
-constexpr int kPromptMs = 500;
+constexpr int kResponseLimitMs = 500;
 /** Consecutive calls. */
 constexpr int kCalls = 5;
 
@@ -51,7 +51,7 @@
     }
     SleepMs(kPlacerChangeMs);
   }
-  /** Checks that consecutive calls to a daemon are served within kPromptMs. */
+  /** Checks that consecutive calls to a daemon are served within kResponseLimitMs. */
   void CheckServedPromptly(std::size_t aDaemon)
   {
     for (int call = 0; call < kCalls; ++call) {
@@ -60,7 +60,7 @@
       const answer got =
         Call(mBed.Callers(aDaemon), "POST", "/turns/a", "prompt", GenerationHeaders(id, 1000, 2));
       CHECK_EQUAL(200U, got.mStatus);
-      CHECK(boot_clock_source{}.Now() - began < std::chrono::milliseconds(kPromptMs));
+      CHECK(boot_clock_source{}.Now() - began < std::chrono::milliseconds(kResponseLimitMs));
       LONGS_EQUAL(2, mBed.Seen(id).size()); // One prefill and one run, whichever daemon placed it.
     }
   }
