--- a/src/forward/gateway.h
+++ b/src/forward/gateway.h
@@ -1,7 +1,7 @@
 /**
  * @file gateway.h
- * A forwarding daemon: takes callers, follows the configuration and the runners in the store,
- * talks with the other daemons, and stops as planned.
+ * The forwarding daemon: accepts callers, follows the configuration and the runners in the store,
+ * exchanges messages with the other daemons, and shuts down gracefully.
  */
 #pragma once
 
@@ -15,28 +15,39 @@
 
 namespace dunehook {
 
-/** Time between passes over the tables. */
-inline constexpr duration kTableTick = std::chrono::milliseconds(250);
-/** A pass that comes later than this is told of: the process was frozen, or had no processor time,
- * and requests' targets are some hundred milliseconds. */
-inline constexpr duration kStandstill = std::chrono::milliseconds(500);
-/** Part of the memory that request bodies may take. */
-inline constexpr std::uint64_t kBodyPart = 4;
-/** The balancer goes on sending callers for about this long after a daemon isn't ready. */
-inline constexpr duration kBalancerLag = std::chrono::milliseconds(2600);
-/** Kept off the limit of a planned stop, so that the process ends by itself. */
+/** Time between maintenance passes over the tables. */
+inline constexpr duration kTablePassInterval = std::chrono::milliseconds(250);
+/**
+ * A pass that is later than this is logged: the process was suspended or got no CPU time, and
+ * requests have latency targets of a few hundred milliseconds.
+ */
+inline constexpr duration kStallThreshold = std::chrono::milliseconds(500);
+/** Request bodies may take the process's memory divided by this. */
+inline constexpr std::uint64_t kBodyMemoryDivisor = 4;
+/**
+ * The balancer keeps sending callers for about this long after a daemon reports that it isn't
+ * ready.
+ */
+inline constexpr duration kBalancerRemovalDelay = std::chrono::milliseconds(2600);
+/**
+ * Reserved at the end of the stop limit, so that the process exits by itself before it's killed.
+ */
 inline constexpr duration kStopMargin = std::chrono::milliseconds(500);
-/** Time between looks in a planned stop. */
-inline constexpr duration kStopLook = std::chrono::milliseconds(50);
-/** A planned stop may cut what still runs in the last one of so many parts of its limit. */
-inline constexpr int kStopParts = 6;
-/** A signal is handled late if the pass over the tables is later than this: a share of a core may
- * rest for a tenth of a second. */
-inline constexpr duration kLatePass = std::chrono::milliseconds(100);
-/** What a process finds to do when it runs again is done so soon, signals included. */
-inline constexpr duration kFirstTurn = std::chrono::milliseconds(50);
+/** Time between checks during a graceful stop. */
+inline constexpr duration kStopPollInterval = std::chrono::milliseconds(50);
+/**
+ * A graceful stop may cut running requests only in the last of this many equal parts of its limit.
+ */
+inline constexpr int kStopCutDivisor = 6;
+/**
+ * A pass that is later than this means that a signal may have been handled late. A process with a
+ * share of a core may be paused for a tenth of a second, which isn't counted.
+ */
+inline constexpr duration kLatePassThreshold = std::chrono::milliseconds(100);
+/** A process that resumes handles all pending events, signals included, within this time. */
+inline constexpr duration kResumeHandlingTime = std::chrono::milliseconds(50);
 
-/** The daemon. */
+/** The forwarding daemon. */
 template<wire_format Wire, control_store Store>
 class gateway
 {
@@ -58,10 +69,10 @@
     , mPlacers(mState, mLink)
     , mQuarantines(mState, mStore, mLink)
     , mFollower(mState, mStore, mLink, [this](const caller_limits& aLimits) {
-      mListener->Shared().mLimits = aLimits;
+      mListener->State().mLimits = aLimits;
     })
   {
-    mState.mTell = [this](run_message aMessage) { mLink.Tell(std::move(aMessage)); };
+    mState.mTellDaemons = [this](run_message aMessage) { mLink.Tell(std::move(aMessage)); };
     mState.mTellPlacers = [this](run_message aMessage) { mPlacers.Tell(std::move(aMessage)); };
     mState.mReportCrash = [this](const crash_report& aReport) {
       mQuarantines.Link().NoteCrash(aReport);
@@ -74,42 +85,43 @@
     };
   }
 
-  /** Starts to serve. */
+  /** Starts serving. */
   void Start()
   {
-    mPassEnded = mState.Now();
+    mLastPassAt = mState.Now();
     mFollower.Start();
     mLink.Start([this] { return Ready(); });
     mPlacers.Start([this] { return Ready(); });
     mQuarantines.Start();
-    SpawnGuarded(mState.mIo, TickTables());
-    SpawnGuarded(mState.mIo, TickRoles());
+    SpawnGuarded(mState.mIo, RunTablePasses());
+    SpawnGuarded(mState.mIo, RunRolePasses());
   }
 
-  /** Begins a planned stop; the event loop ends when it's over. */
+  /** Begins a graceful stop; the event loop ends when it's complete. */
   void Drain()
   {
     if (mState.mStopping) {
       return;
     }
     const instant now = mState.Now();
-    const instant since = SignalledSince(now);
-    LogEvent(
-      log_level::eInfo,
-      "stopping",
-      { { "open", mListener->Shared().mOpen }, { "late_ms", (now - since).count() / 1000 } });
+    const instant since = EarliestSignalTime(now);
+    LogEvent(log_level::eInfo,
+             "stopping",
+             { { "open", mListener->State().mOpenConnections },
+               { "late_ms", (now - since).count() / 1000 } });
     mState.mStopping = true;
-    // The signal came between the two instants. Requests are taken as if it came first; nothing is
-    // cut before the last part of the limit even if it came last.
+    // The signal arrived between `since` and `now`. New requests are refused as if it arrived at
+    // `since`; no running request is cut before the last part of the limit even if it arrived at
+    // `now`.
     const duration limit = mState.mSettings.mStopLimit;
-    mState.mStopBy =
-      std::max(since + limit - kStopMargin, now + limit - limit / kStopParts + kStopLook);
-    mListener->Shared().mClosing = true;
-    mListener->Shared().mTakesUntil = since + kBalancerLag + 2 * kStopLook;
+    mState.mStopDeadline = std::max(since + limit - kStopMargin,
+                                    now + limit - limit / kStopCutDivisor + kStopPollInterval);
+    mListener->State().mClosing = true;
+    mListener->State().mAcceptUntil = since + kBalancerRemovalDelay + 2 * kStopPollInterval;
     SpawnGuarded(mState.mIo, FinishStop(since));
   }
 
-  /** Takes over what may change while the daemon runs. */
+  /** Applies the settings that may change at run time. */
   void Reload(const gateway_settings& aSettings)
   {
     mState.mSettings.mRetries = aSettings.mRetries;
@@ -129,7 +141,7 @@
       caller_listener::Open(mState.mIo, settings.mCallers, [this](caller_exchange_ptr aExchange) {
         return Forward(std::move(aExchange));
       }));
-    mListener->Shared().mMostBodyBytes = settings.mMemoryBytes / kBodyPart;
+    mListener->State().mMaxBodyBytes = settings.mMemoryBytes / kBodyMemoryDivisor;
     BOOST_OUTCOME_TRY(
       mReadiness,
       http_listener::Open(mState.mIo, settings.mReadiness, {}, [this](exchange_ptr aExchange) {
@@ -167,17 +179,17 @@
     co_await aExchange->Respond(200, text, noHeaders, "text/plain; version=0.0.4");
   }
 
-  /** @return the values of the gauges now. */
+  /** @return the current values of the gauges. */
   gateway_gauges Gauges()
   {
     gateway_gauges values;
     const instant now = mState.Now();
-    const session_shared& sessions = mListener->Shared();
+    const listener_state& sessions = mListener->State();
     values["ready"] = Ready() ? 1.0 : 0.0;
     values["config_version"] =
       mState.mRoutes ? static_cast<double>(mState.mRoutes->Config().mVersion) : 0.0;
     values["config_age_seconds"] = ToSeconds(now - mFollower.Config().InForceSince());
-    values["runners_age_seconds"] = ToSeconds(now - mState.mListedAt);
+    values["runners_age_seconds"] = ToSeconds(now - mState.mRunnersReadAt);
     values["store_bytes_in"] = static_cast<double>(mStore.BytesIn());
     values["config_read_seconds"] = ToSeconds(mFollower.Config().ReadingFor());
     values["runner_entries_unreadable"] = static_cast<double>(mStore.UnreadableEntries());
@@ -185,8 +197,8 @@
     values["store_answers"] = mFollower.Contact().Answers() ? 1.0 : 0.0;
     values["daemons"] = static_cast<double>(mState.mDaemons);
     values["generations"] = static_cast<double>(mState.mPlacement.RunCount());
-    values["connections"] = static_cast<double>(sessions.mOpen);
-    values["requests_under_way"] = static_cast<double>(sessions.mBusy);
+    values["connections"] = static_cast<double>(sessions.mOpenConnections);
+    values["requests_under_way"] = static_cast<double>(sessions.mActiveRequests);
     values["body_bytes"] = static_cast<double>(sessions.mBodyBytes);
     values["log_lines_dropped"] = static_cast<double>(mLogTotals.mDropped);
     values["log_bytes"] = static_cast<double>(mLogTotals.mBytes);
@@ -209,18 +221,19 @@
   {
     const instant arrived = mState.Now();
     const request_facts facts = Wire::ReadRequest(aExchange->Request());
-    // Looked at once the request is whole. It may come late on a connection that an answer from
-    // before the stop left open, behind another request, or with slow bytes: the end of the process
-    // would cut it, and a caller that is told so can go elsewhere.
-    if (mListener->Shared().TakesNoMore(arrived)) {
+    // Checked once the request is complete. A request may arrive late on a connection that a
+    // response from before the stop left open, pipelined behind another request, or with slow
+    // bytes: the exit of the process would cut it, whereas a refused caller can go to another
+    // daemon.
+    if (mListener->State().RefusesNewRequests(arrived)) {
       mState.mMetrics.CountRequest("none", "refused", "stopping");
       mState.LogDecision(log_level::eInfo, "not_taken", facts.mId, {});
-      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStopComeBack, "stopping");
+      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStoppingRetryAfter, "stopping");
       co_return;
     }
-    const instant startedBy = arrived + kStartWait;
+    const instant startedBy = arrived + kStartupWait;
     while (!mFollower.Contact().Known() && mState.Now() < startedBy) {
-      co_await Sleep(kLookAtStart);
+      co_await Sleep(kStartupPollInterval);
     }
     if (!mFollower.Contact().Known()) {
       mState.mMetrics.CountRequest("none", "refused", "starting");
@@ -228,7 +241,7 @@
                          "not_started",
                          facts.mId,
                          { { "config_known", mState.mRoutes != nullptr } });
-      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStartComeBack, "starting");
+      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStartingRetryAfter, "starting");
       co_return;
     }
     const std::shared_ptr<const route_table> routes = mState.mRoutes;
@@ -243,9 +256,9 @@
       co_await Refuse<Wire>(*aExchange, facts.mId, 404, duration{ 0 }, "no_route");
       co_return;
     }
-    const forward_service* const service = routes->PickService(*route, mState.Draw());
+    const forward_service* const service = routes->PickService(*route, mState.RandomFraction());
     if (service == nullptr) {
-      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStartComeBack, "no_service");
+      co_await Refuse<Wire>(*aExchange, facts.mId, 503, kStartingRetryAfter, "no_service");
       co_return;
     }
     if (service->mEngines && route->mRepeat == repeat_rule::eStream) {
@@ -255,7 +268,7 @@
       plain_call<Wire> call(mState, aExchange, facts, routes, *route, *service, arrived);
       co_await call.Run();
     }
-    if (aExchange->Gone()) {
+    if (aExchange->Disconnected()) {
       mState.mMetrics.CountRequest(route->mName, "left", "");
       mState.LogDecision(
         log_level::eInfo,
@@ -265,8 +278,11 @@
     }
   }
 
-  /** @return connections to one runner that may rest, by the service that takes the fewest. */
-  std::size_t MostIdle() const
+  /**
+   * @return the limit of idle connections to one runner, taken from the service that allows the
+   * fewest.
+   */
+  std::size_t IdleConnectionLimit() const
   {
     std::size_t most = MaxIdleConnections(std::numeric_limits<std::uint32_t>::max(), 1);
     if (mState.mRoutes) {
@@ -277,38 +293,38 @@
     return most;
   }
 
-  asio::awaitable<void> TickTables()
+  asio::awaitable<void> RunTablePasses()
   {
     for (;;) {
       const instant slept = mState.Now();
-      mPassEnded = slept;
-      co_await Sleep(kTableTick);
+      mLastPassAt = slept;
+      co_await Sleep(kTablePassInterval);
       const instant now = mState.Now();
-      if (now - slept > kTableTick + kLatePass) {
-        mStillFrom = slept;
-        mStillTo = now;
+      if (now - slept > kTablePassInterval + kLatePassThreshold) {
+        mStallBegan = slept;
+        mStallEnded = now;
       }
-      if (now - slept > kTableTick + kStandstill) {
+      if (now - slept > kTablePassInterval + kStallThreshold) {
         LogEvent(log_level::eWarning,
                  "stood_still",
-                 { { "ms", (now - slept - kTableTick).count() / 1000 } });
+                 { { "ms", (now - slept - kTablePassInterval).count() / 1000 } });
       }
       mState.NoteRunnersChanged(mState.mRunners.RemoveGone(now, mFollower.Contact().WasAway()));
       mState.mPlacement.Prune(mState.mRunners, now);
       mState.mPool.Prune(now);
       mState.mRefused.Prune(now);
       mLink.Sweep(now);
-      mPlacers.Tick(now - slept > kTableTick + kLatePass);
+      mPlacers.Tick(now - slept > kTablePassInterval + kLatePassThreshold);
       mState.NoteDaemons(mLink.Members().CountServing());
-      mState.mPool.SetMaxIdle(MostIdle());
+      mState.mPool.SetMaxIdle(IdleConnectionLimit());
       mFollower.Tick();
       mLogTotals = TickLogging();
     }
   }
 
-  asio::awaitable<void> TickRoles()
+  asio::awaitable<void> RunRolePasses()
   {
-    co_await Sleep(kRolePlanInterval); // Until the other daemons were heard.
+    co_await Sleep(kRolePlanInterval); // Lets messages of the other daemons arrive first.
     for (;;) {
       co_await Sleep(kRolePlanInterval);
       if (!Ready() || mFollower.Contact().WasAway()) {
@@ -326,66 +342,73 @@
     }
   }
 
-  /** @return the earliest that a signal came which is handled at @p aNow: a process that stood
-   * still handles it late, and its limit counts from the signal. */
-  instant SignalledSince(instant aNow) const
+  /**
+   * @return the earliest time at which a signal handled at @p aNow may have arrived: a process that
+   * was suspended handles it late, but the stop limit counts from the signal.
+   */
+  instant EarliestSignalTime(instant aNow) const
   {
-    if (aNow - mPassEnded > kTableTick + kLatePass) {
-      return mPassEnded;
+    if (aNow - mLastPassAt > kTablePassInterval + kLatePassThreshold) {
+      return mLastPassAt;
     }
-    return aNow - mStillTo < kFirstTurn ? mStillFrom : aNow;
+    return aNow - mStallEnded < kResumeHandlingTime ? mStallBegan : aNow;
   }
 
   /**
-   * Waits until the balancer has turned away and what runs is over, then ends the event loop.
+   * Waits until the balancer no longer sends callers and the running requests have ended, then ends
+   * the event loop.
    * @param aSince when the stop began.
    */
   asio::awaitable<void> FinishStop(instant aSince)
   {
-    while (mState.Now() < mState.mStopBy) {
-      co_await Sleep(kStopLook);
-      if (mState.Now() - aSince < kBalancerLag) {
+    while (mState.Now() < mState.mStopDeadline) {
+      co_await Sleep(kStopPollInterval);
+      if (mState.Now() - aSince < kBalancerRemovalDelay) {
         continue;
       }
       mListener->StopAccepting();
       mListener->CloseIdle();
-      if (mListener->Shared().mBusy == 0) {
+      if (mListener->State().mActiveRequests == 0) {
         break;
       }
     }
-    LogEvent(
-      log_level::eInfo,
-      "stopped",
-      { { "busy", mListener->Shared().mBusy }, { "ms", (mState.Now() - aSince).count() / 1000 } });
+    LogEvent(log_level::eInfo,
+             "stopped",
+             { { "busy", mListener->State().mActiveRequests },
+               { "ms", (mState.Now() - aSince).count() / 1000 } });
     mState.mIo.stop();
   }
 
-  /** A request waits so long for the first configuration: a refusal that comes later is no use to
-   * the caller. */
-  static constexpr duration kStartWait = std::chrono::milliseconds(25);
-  /** Time between looks for the first configuration. */
-  static constexpr duration kLookAtStart = std::chrono::milliseconds(5);
-  /** A caller of a daemon that stops may come back then, to another: the time of a new connection
-   * between halls, and room for one that is slow. */
-  static constexpr duration kStopComeBack = std::chrono::milliseconds(50);
-  /** A caller of a daemon that starts may come back then. */
-  static constexpr duration kStartComeBack = std::chrono::milliseconds(500);
+  /**
+   * Longest time that a request waits for the first configuration: a later refusal is of no use to
+   * the caller.
+   */
+  static constexpr duration kStartupWait = std::chrono::milliseconds(25);
+  /** Time between checks for the first configuration. */
+  static constexpr duration kStartupPollInterval = std::chrono::milliseconds(5);
+  /**
+   * Time after which a caller of a stopping daemon may retry at another one: the time to connect to
+   * another data hall, with a reserve for a slow connection.
+   */
+  static constexpr duration kStoppingRetryAfter = std::chrono::milliseconds(50);
+  /** Time after which a caller of a starting daemon may retry. */
+  static constexpr duration kStartingRetryAfter = std::chrono::milliseconds(500);
 
-  forward_state mState;                            ///< Shared by all parts.
-  Store mStore;                                    ///< Configuration, runners and terms.
-  role_controller<Wire, Store> mRoles;             ///< Gives engines their roles.
-  daemon_link mLink;                               ///< The other daemons.
-  placer_link mPlacers;                            ///< Those that place generations.
-  quarantine_store<Store> mQuarantines;            ///< Keeps requests that crash runners off them.
-  store_follower<Store> mFollower;                 ///< Follows the store.
-  std::unique_ptr<caller_listener> mListener;      ///< For callers.
-  std::unique_ptr<http_listener> mMetricsListener; ///< For the operators' metrics.
-  std::unique_ptr<http_listener> mConfigListener;  ///< For other daemons.
-  std::unique_ptr<http_listener> mReadiness;       ///< For the balancer.
-  log_totals mLogTotals;                           ///< Of the last tick.
-  instant mPassEnded{ 0 };                         ///< The last pass over the tables.
-  instant mStillFrom{ 0 };                         ///< End of the pass before the last late one.
-  instant mStillTo{ 0 };                           ///< When the last late pass came.
+  forward_state mState;                       ///< State that all components share.
+  Store mStore;                               ///< Store of configuration, runners and terms.
+  role_controller<Wire, Store> mRoles;        ///< Assigns roles to engines.
+  daemon_link mLink;                          ///< Messages to and from the other daemons.
+  placer_link mPlacers;                       ///< Calls to the daemons that place generations.
+  quarantine_store<Store> mQuarantines;       ///< Keeps requests that crash runners away from them.
+  store_follower<Store> mFollower;            ///< Follows changes in the store.
+  std::unique_ptr<caller_listener> mListener; ///< Accepts callers.
+  std::unique_ptr<http_listener> mMetricsListener; ///< Serves the operators' metrics.
+  std::unique_ptr<http_listener> mConfigListener;  ///< Serves the configuration to other daemons.
+  std::unique_ptr<http_listener> mReadiness;       ///< Serves the balancer's readiness checks.
+  log_totals mLogTotals;                           ///< Log totals as of the last pass.
+  instant mLastPassAt{ 0 };                        ///< End of the last pass over the tables.
+  instant mStallBegan{ 0 }; ///< Start of the last stall: the end of the pass before a late one.
+  instant mStallEnded{ 0 }; ///< End of the last stall: when the late pass began.
 };
 
 } // namespace dunehook
--- a/src/forward/plain_call.h
+++ b/src/forward/plain_call.h
@@ -1,7 +1,7 @@
 /**
  * @file plain_call.h
  * Forwards requests to plain services. A request that may not be repeated is sent to one runner
- * only, unless it's certain that nothing ran; the caller is told that it didn't run only then.
+ * only, unless it's certain that nothing ran; only then is the caller told that it didn't run.
  */
 #pragma once
 
@@ -9,22 +9,26 @@
 
 namespace dunehook {
 
-/** Bytes of an answer that are held before the caller gets the first: an answer cut below this
- * can still be replaced by another runner's. */
-inline constexpr std::size_t kHeldAnswerBytes = 65536;
+/**
+ * Bytes of a response that are buffered before the caller gets the first: a response cut below this
+ * size can still be replaced by another runner's.
+ */
+inline constexpr std::size_t kMaxBufferedBytes = 65536;
 /** A repeatable request waits this many latency targets for one runner before it tries another. */
-inline constexpr int kTargetsBeforeRepeat = 2;
-/** A request waits for a runner that rests for this part of its latency target: a refusal that
- * comes later is no use to the caller. */
-inline constexpr int kTargetPartToWait = 5;
-/** Time between looks for a runner. */
-inline constexpr duration kLookForRunner = std::chrono::milliseconds(10);
-/** Connections that may fail before a request is given up on; nothing is sent by them. */
-inline constexpr std::uint32_t kMostConnects = 4;
-/** A caller whose request found no runner may come back about then. */
-inline constexpr duration kPlainComeBack = std::chrono::milliseconds(150);
+inline constexpr int kTargetsBeforeRetry = 2;
+/**
+ * A request waits for a backing-off runner for its latency target divided by this: a later refusal
+ * is of no use to the caller.
+ */
+inline constexpr int kRunnerWaitDivisor = 5;
+/** Time between checks for an available runner. */
+inline constexpr duration kRunnerPollInterval = std::chrono::milliseconds(10);
+/** Attempts after which a request is abandoned; a failed connection sends nothing. */
+inline constexpr std::uint32_t kMaxConnectAttempts = 4;
+/** Mean time after which the caller of a request that found no runner may retry. */
+inline constexpr duration kPlainRetryAfter = std::chrono::milliseconds(150);
 
-/** One plain request. */
+/** Serves one plain request. */
 template<wire_format Wire>
 class plain_call
 {
@@ -42,37 +46,42 @@
     , mRoutes(std::move(aRoutes))
     , mRoute(aRoute)
     , mService(aService)
-    , mWatch(aState, *mExchange, mFacts)
+    , mCrashWatch(aState, *mExchange, mFacts)
     , mArrived(aArrived)
     , mDeadline(aArrived + std::min(aRoute.mTimeout, mFacts.mTimeLeft.value_or(aRoute.mTimeout)))
   {
   }
 
-  /** Serves the request to its end. */
+  /** Serves the request until it ends. */
   asio::awaitable<void> Run()
   {
     mState.BudgetOf(mService.mName).NoteRequest();
     bool again = true;
-    while (again && !mExchange->Gone()) {
+    while (again && !mExchange->Disconnected()) {
       again = co_await TryOnce();
     }
   }
 
 private:
-  bool MayRepeat() const { return mRoute.mRepeat == repeat_rule::eRepeatable; }
+  bool MayRetry() const { return mRoute.mRepeat == repeat_rule::eRepeatable; }
   duration TimeLeft() const { return mDeadline - mState.Now(); }
-  duration MostWait() const { return mRoute.mFirstAnswer / kTargetPartToWait; }
+  duration MaxRunnerWait() const { return mRoute.mFirstAnswer / kRunnerWaitDivisor; }
 
-  /** @return whether a runner that rests wants requests again while this one may wait. Looks at all
-   * runners: only for a request that found none. */
-  bool WillBeWanted() const
+  /**
+   * @return whether a backing-off runner accepts requests again while this one may wait. Scans all
+   * runners, so it's called only for a request that found none.
+   */
+  bool RunnerWillAcceptSoon() const
   {
     return mState.mRunners.HasRunner(mService.mName) &&
-           mState.mRunners.AcceptsRequestsFrom(mService.mName) < mArrived + MostWait();
+           mState.mRunners.AcceptsRequestsFrom(mService.mName) < mArrived + MaxRunnerWait();
   }
 
-  /** @return whether another runner may be tried after one that the request reached. */
-  bool TakeRepeat()
+  /**
+   * Takes a retry from the budget.
+   * @return whether another runner may be tried after one that the request reached.
+   */
+  bool TakeRetryBudget()
   {
     const bool allowed = mSends < mRoute.mMaxRunners && TimeLeft() > duration{ 0 } &&
                          mState.BudgetOf(mService.mName).Take(mState.Now());
@@ -82,22 +91,25 @@
     return allowed;
   }
 
-  /** Tries one runner. @return whether to try another. */
+  /**
+   * Tries one runner.
+   * @return whether to try another.
+   */
   asio::awaitable<bool> TryOnce()
   {
-    if (mWatch.Quarantined()) {
+    if (mCrashWatch.Quarantined()) {
       co_await GiveUpQuarantined();
       co_return false;
     }
     runner_state* const runner =
-      mState.mRunners.Choose(mService.mName, mTried, mState.Now(), mState.Draw());
+      mState.mRunners.Choose(mService.mName, mTriedRunners, mState.Now(), mState.RandomFraction());
     const duration waited = mState.Now() - mArrived;
-    const bool mayWait = mConnects == 0 && waited < MostWait();
-    if (runner == nullptr && mayWait && WillBeWanted()) {
-      co_await Sleep(kLookForRunner);
+    const bool mayWait = mAttempts == 0 && waited < MaxRunnerWait();
+    if (runner == nullptr && mayWait && RunnerWillAcceptSoon()) {
+      co_await Sleep(kRunnerPollInterval);
       co_return true;
     }
-    if (runner == nullptr || mConnects >= kMostConnects || TimeLeft() <= duration{ 0 }) {
+    if (runner == nullptr || mAttempts >= kMaxConnectAttempts || TimeLeft() <= duration{ 0 }) {
       co_await GiveUp(runner == nullptr ? "no_runner" : "unreachable");
       co_return false;
     }
@@ -109,133 +121,146 @@
     plan.mRunner = id;
     plan.mTimeLeft = TimeLeft();
     plan.mRank = mRoute.mRank;
-    mTried.insert(id);
-    ++mConnects;
+    mTriedRunners.insert(id);
+    ++mAttempts;
     ++runner->mUnderWay;
-    const bool mayRepeatLater = MayRepeat() && mSends + 1 < mRoute.mMaxRunners;
-    const duration limit = mayRepeatLater ? std::min(TimeLeft() + kAnswerSlack,
-                                                     mRoute.mFirstAnswer * kTargetsBeforeRepeat)
-                                          : TimeLeft() + kAnswerSlack;
-    upstream_answer answer = co_await SendToRunner<Wire>(
-      mState, *mExchange, address, plan, mFacts.mId, !MayRepeat(), limit);
-    const bool again = co_await Conclude(id, address, answer, limit);
+    const bool mayRepeatLater = MayRetry() && mSends + 1 < mRoute.mMaxRunners;
+    const duration limit = mayRepeatLater ? std::min(TimeLeft() + kResponseSlack,
+                                                     mRoute.mFirstAnswer * kTargetsBeforeRetry)
+                                          : TimeLeft() + kResponseSlack;
+    upstream_response answer = co_await SendToRunner<Wire>(
+      mState, *mExchange, address, plan, mFacts.mId, !MayRetry(), limit);
+    const bool again = co_await HandleSendResult(id, address, answer, limit);
     if (runner_state* const still = mState.mRunners.Find(id)) {
       --still->mUnderWay;
     }
     co_return again;
   }
 
-  /** Acts on the end of a send. @return whether to try another runner. */
-  asio::awaitable<bool> Conclude(service_runner_id aRunner,
-                                 endpoint aAddress,
-                                 upstream_answer& aAnswer,
-                                 duration aLimit)
+  /**
+   * Handles the outcome of a send.
+   * @return whether to try another runner.
+   */
+  asio::awaitable<bool> HandleSendResult(service_runner_id aRunner,
+                                         endpoint aAddress,
+                                         upstream_response& aAnswer,
+                                         duration aLimit)
   {
-    if (mExchange->Gone()) {
-      Note(aRunner, send_outcome::eAbandoned);
+    if (mExchange->Disconnected()) {
+      NoteOutcome(aRunner, send_outcome::eAbandoned);
       co_return false;
     }
-    if (aAnswer.mEnd == send_end::eNotSent) {
-      Note(aRunner, send_outcome::eUnreachable);
-      co_return true; // Nothing left this daemon: another runner is no repeat.
+    if (aAnswer.mSendStatus == send_status::eNotSent) {
+      NoteOutcome(aRunner, send_outcome::eUnreachable);
+      co_return true; // Nothing was sent, so another runner isn't a retry.
     }
     ++mSends;
     std::string body;
     if (aAnswer.mConnection) {
       const result<void> read =
-        co_await ReadBody(*aAnswer.mConnection, body, kHeldAnswerBytes, aLimit);
+        co_await ReadBody(*aAnswer.mConnection, body, kMaxBufferedBytes, aLimit);
       if (!read && read.error() == errc::eBodyTooLarge) {
         co_await Stream(aAddress, aAnswer, body);
-        Note(aRunner, send_outcome::eServed);
+        NoteOutcome(aRunner, send_outcome::eServed);
         co_return false;
       }
-      GiveBack(mState, *mExchange, aAddress, aAnswer.mConnection);
-      if (!read && aAnswer.mEnd == send_end::eAnswered) {
-        aAnswer.mEnd = send_end::eUnknown;
-        aAnswer.mBroke = read.error() == errc::eConnectionLost;
+      ReturnConnection(mState, *mExchange, aAddress, aAnswer.mConnection);
+      if (!read && aAnswer.mSendStatus == send_status::eAnswered) {
+        aAnswer.mSendStatus = send_status::eUnknown;
+        aAnswer.mConnectionLost = read.error() == errc::eConnectionLost;
       }
     }
-    if (mExchange->Gone()) {
-      Note(aRunner, send_outcome::eAbandoned);
+    if (mExchange->Disconnected()) {
+      NoteOutcome(aRunner, send_outcome::eAbandoned);
       co_return false;
     }
     const bool success = aAnswer.mFacts.mStatus < 300;
-    if (aAnswer.mEnd == send_end::eAnswered && success && !aAnswer.mFacts.mHasReceipt) {
-      aAnswer.mEnd = send_end::eUnknown; // Not the runner's own answer.
+    if (aAnswer.mSendStatus == send_status::eAnswered && success && !aAnswer.mFacts.mHasReceipt) {
+      aAnswer.mSendStatus = send_status::eUnknown; // The response isn't the runner's own.
     }
     bool again = false;
-    if (aAnswer.mEnd == send_end::eNotRun) {
-      again = co_await AfterRefusal(aRunner, aAnswer);
-    } else if (aAnswer.mEnd == send_end::eUnknown) {
-      again = co_await AfterLoss(aRunner, aAnswer);
+    if (aAnswer.mSendStatus == send_status::eNotRun) {
+      again = co_await HandleRefusal(aRunner, aAnswer);
+    } else if (aAnswer.mSendStatus == send_status::eUnknown) {
+      again = co_await HandleLostResponse(aRunner, aAnswer);
     } else {
-      again = co_await PassAnswer(aRunner, aAnswer, body);
+      again = co_await ForwardResponse(aRunner, aAnswer, body);
     }
     co_return again;
   }
 
-  /** The runner didn't run the request. @return whether to try another. */
-  asio::awaitable<bool> AfterRefusal(service_runner_id aRunner, const upstream_answer& aAnswer)
+  /**
+   * Handles a runner's statement that it didn't run the request.
+   * @return whether to try another.
+   */
+  asio::awaitable<bool> HandleRefusal(service_runner_id aRunner, const upstream_response& aAnswer)
   {
-    Note(aRunner, OutcomeOf(aAnswer));
-    if (TakeRepeat()) {
+    NoteOutcome(aRunner, OutcomeOf(aAnswer));
+    if (TakeRetryBudget()) {
       co_return true;
     }
     co_await GiveUp("runner_refused");
     co_return false;
   }
 
-  /** The request may have run, and there's no whole answer. @return whether to try another. */
-  asio::awaitable<bool> AfterLoss(service_runner_id aRunner, const upstream_answer& aAnswer)
+  /**
+   * Handles a request that may have run without a complete response.
+   * @return whether to try another runner.
+   */
+  asio::awaitable<bool> HandleLostResponse(service_runner_id aRunner,
+                                           const upstream_response& aAnswer)
   {
-    Note(aRunner, OutcomeOf(aAnswer));
-    if (aAnswer.mBroke) {
-      mWatch.NoteBroken(aRunner, false);
+    NoteOutcome(aRunner, OutcomeOf(aAnswer));
+    if (aAnswer.mConnectionLost) {
+      mCrashWatch.ReportConnectionLost(aRunner, false);
     }
     mState.LogDecision(log_level::eWarning,
                        "answer_lost",
                        mFacts.mId,
                        { { "runner", mRunnerName },
                          { "outcome", OutcomeName(OutcomeOf(aAnswer)) },
-                         { "may_repeat", MayRepeat() },
+                         { "may_repeat", MayRetry() },
                          { "sends", mSends },
-                         { "fingerprint", mWatch.Fingerprint().mValue },
+                         { "fingerprint", mCrashWatch.Fingerprint().mValue },
                          { "caller", mExchange->CallerAddress() } });
-    mState.mMetrics.CountBroken(mRoute.mName);
-    mUnknown = true;
-    if (MayRepeat() && TakeRepeat()) {
+    mState.mMetrics.CountBrokenAnswer(mRoute.mName);
+    mMayHaveRun = true;
+    if (MayRetry() && TakeRetryBudget()) {
       co_return true;
     }
     co_await GiveUp(aAnswer.mTimedOut ? "runner_silent" : "answer_broken");
     co_return false;
   }
 
-  /** Passes a whole answer on, unless it's a failure that another runner may mend. */
-  asio::awaitable<bool> PassAnswer(service_runner_id aRunner,
-                                   const upstream_answer& aAnswer,
-                                   const std::string& aBody)
+  /**
+   * Forwards a whole response, unless it's a failure that another runner may avoid.
+   * @return whether to try another runner.
+   */
+  asio::awaitable<bool> ForwardResponse(service_runner_id aRunner,
+                                        const upstream_response& aAnswer,
+                                        const std::string& aBody)
   {
     const bool failed = aAnswer.mFacts.mStatus >= 500;
-    Note(aRunner, failed ? send_outcome::eFailed : send_outcome::eServed);
-    LogAnswer(aAnswer.mFacts.mStatus);
-    if (failed && MayRepeat() && TakeRepeat()) {
-      mFailure.emplace(failure_answer{ aAnswer.mFacts.mStatus, aAnswer.mHead, aBody });
+    NoteOutcome(aRunner, failed ? send_outcome::eFailed : send_outcome::eServed);
+    LogResponse(aAnswer.mFacts.mStatus);
+    if (failed && MayRetry() && TakeRetryBudget()) {
+      mFailure.emplace(failure_response{ aAnswer.mFacts.mStatus, aAnswer.mHead, aBody });
       co_return true;
     }
     const bool success = aAnswer.mFacts.mStatus < 300;
-    mWatch.NoteServed(); // A failure of the runner's own too: it lives on.
+    mCrashWatch.ReportServed(); // An error response counts as well: the runner is still alive.
     mState.mMetrics.CountRequest(
       mRoute.mName, success ? "served" : "failed", success ? "" : "runner_failure");
-    co_await mExchange->Answer(aAnswer.mFacts.mStatus, aAnswer.mHead, aBody);
+    co_await mExchange->Respond(aAnswer.mFacts.mStatus, aAnswer.mHead, aBody);
     co_return false;
   }
 
-  /** Writes a line on a runner's answer. */
-  void LogAnswer(unsigned aStatus)
+  /** Logs a runner's response and records its latency. */
+  void LogResponse(unsigned aStatus)
   {
     const bool good = aStatus < 500;
     const duration took = mState.Now() - mArrived;
-    mState.mMetrics.ObserveFirst(mRoute.mName, ToSeconds(took));
+    mState.mMetrics.ObserveFirstAnswer(mRoute.mName, ToSeconds(took));
     mState.LogDecision(good ? log_level::eInfo : log_level::eWarning,
                        "request_answered",
                        mFacts.mId,
@@ -247,9 +272,9 @@
                          { "ms", took.count() / 1000 } });
   }
 
-  /** Passes a large answer on piece by piece. */
+  /** Forwards a large response piece by piece. */
   asio::awaitable<void> Stream(const endpoint& aAddress,
-                               upstream_answer& aAnswer,
+                               upstream_response& aAnswer,
                                std::string& aHeld)
   {
     upstream_connection& upstream = *aAnswer.mConnection;
@@ -259,10 +284,10 @@
     while (open && more) {
       open = co_await mExchange->Write(aHeld);
       aHeld.clear();
-      const result<bool> read = co_await upstream.ReadSome(aHeld, TimeLeft() + kAnswerSlack);
+      const result<bool> read = co_await upstream.ReadSome(aHeld, TimeLeft() + kResponseSlack);
       if (!read) {
         upstream.Abort();
-        mExchange->Tear();
+        mExchange->ResetConnection();
         co_return;
       }
       more = read.value();
@@ -273,31 +298,31 @@
     if (open) {
       co_await mExchange->EndBody();
     }
-    GiveBack(mState, *mExchange, aAddress, aAnswer.mConnection);
+    ReturnConnection(mState, *mExchange, aAddress, aAnswer.mConnection);
   }
 
-  /** Gives the final answer of a request that may be sent to no runner any more. */
+  /** Sends the final response to a quarantined request. */
   asio::awaitable<void> GiveUpQuarantined()
   {
-    if (mUnknown || mFailure) {
+    if (mMayHaveRun || mFailure) {
       co_await GiveUp("quarantined");
     } else {
-      co_await RefuseQuarantined<Wire>(mState, *mExchange, mFacts, mRoute.mName, mWatch);
+      co_await RefuseQuarantined<Wire>(mState, *mExchange, mFacts, mRoute.mName, mCrashWatch);
     }
   }
 
-  /** Gives the final answer of a request that no runner served. */
+  /** Sends the final response to a request that no runner served. */
   asio::awaitable<void> GiveUp(std::string_view aReason)
   {
     if (mFailure) {
-      co_await mExchange->Answer(mFailure->mStatus, mFailure->mHead, mFailure->mBody);
+      co_await mExchange->Respond(mFailure->mStatus, mFailure->mHead, mFailure->mBody);
       co_return;
     }
     unsigned status = 503;
-    if (mUnknown) {
+    if (mMayHaveRun) {
       status = TimeLeft() <= duration{ 0 } ? 504 : 502;
     }
-    const duration back = RetryDelay();
+    const duration back = RetryAfter();
     mState.mMetrics.CountRequest(mRoute.mName, status == 503 ? "refused" : "failed", aReason);
     mState.LogDecision(log_level::eWarning,
                        "request_given_up",
@@ -311,11 +336,11 @@
       *mExchange, mFacts.mId, status, status == 503 ? back : duration{ 0 }, aReason);
   }
 
-  /** @return when the caller of a request that found no runner shall come back. */
-  duration RetryDelay()
+  /** @return the time after which the caller of a request that found no runner may retry. */
+  duration RetryAfter()
   {
-    const double spread = 0.5 + mState.Draw();
-    const duration back = FromSeconds(ToSeconds(kPlainComeBack) * spread);
+    const double spread = 0.5 + mState.RandomFraction();
+    const duration back = FromSeconds(ToSeconds(kPlainRetryAfter) * spread);
     if (!mState.mRunners.HasRunner(mService.mName)) {
       return back;
     }
@@ -323,34 +348,34 @@
     return back + std::max(duration{ 0 }, rest);
   }
 
-  void Note(service_runner_id aRunner, send_outcome aOutcome)
+  void NoteOutcome(service_runner_id aRunner, send_outcome aOutcome)
   {
     mState.mRunners.NoteOutcome(aRunner, aOutcome, mState.Now());
   }
 
-  /** A failure of a runner's own, for the caller if no other runner does better. */
-  struct failure_answer
+  /** A runner's error response, for the caller if no other runner does better. */
+  struct failure_response
   {
     unsigned mStatus = 0; ///< HTTP status.
-    http::fields mHead;   ///< Fields for the caller.
+    http::fields mHead;   ///< Headers for the caller.
     std::string mBody;    ///< Whole body.
   };
 
-  forward_state& mState;                      ///< Shared.
-  caller_exchange_ptr mExchange;              ///< The caller's side.
-  request_facts mFacts;                       ///< Of the request's head.
+  forward_state& mState;                      ///< State shared by the daemon's components.
+  caller_exchange_ptr mExchange;              ///< The caller's connection and request.
+  request_facts mFacts;                       ///< Parsed from the request's head.
   std::shared_ptr<const route_table> mRoutes; ///< Keeps mRoute and mService alive.
-  const forward_route& mRoute;                ///< Its route.
-  const forward_service& mService;            ///< The service that takes it.
-  crash_watch mWatch;                         ///< Whether it crashes runners.
-  instant mArrived;                           ///< When it was read.
-  instant mDeadline;                          ///< When it's too late.
-  std::set<service_runner_id> mTried;         ///< Runners tried.
-  std::string mRunnerName;                    ///< Runner of the last try.
-  std::uint32_t mSends = 0;                   ///< Runners that it reached; at most mMaxRunners.
-  std::uint32_t mConnects = 0;                ///< Runners tried, reached or not.
-  bool mUnknown = false;                      ///< It may have run somewhere.
-  std::optional<failure_answer> mFailure;     ///< The last failure that was repeated.
+  const forward_route& mRoute;                ///< The request's route.
+  const forward_service& mService;            ///< The service that serves the request.
+  crash_watch mCrashWatch;                    ///< Crash tracking of the request.
+  instant mArrived;                           ///< When the request arrived.
+  instant mDeadline;                          ///< End of the request's time limit.
+  std::set<service_runner_id> mTriedRunners;  ///< Runners tried so far.
+  std::string mRunnerName;                    ///< Name of the runner tried last.
+  std::uint32_t mSends = 0;    ///< Runners that the request reached; at most mMaxRunners.
+  std::uint32_t mAttempts = 0; ///< Runners tried, reached or not.
+  bool mMayHaveRun = false;    ///< A runner may have run the request.
+  std::optional<failure_response> mFailure; ///< The last error response that was retried.
 };
 
 } // namespace dunehook
--- a/src/forward/upstream_send.cpp
+++ b/src/forward/upstream_send.cpp
@@ -1,6 +1,6 @@
 /**
  * @file upstream_send.cpp
- * Fields that aren't passed on, and reading of bodies.
+ * Header filtering, request fingerprints and reading of response bodies.
  */
 #include "forward/upstream_send.h"
 
@@ -10,7 +10,7 @@
 namespace dunehook {
 
 bool
-IsHopHeader(std::string_view aName)
+IsHopByHopHeader(std::string_view aName)
 {
   static constexpr std::array<std::string_view, 10> kNames{ "Connection",
                                                             "Keep-Alive",
@@ -28,7 +28,7 @@
 }
 
 std::vector<std::string>
-ListedByConnection(const http::fields& aHead)
+ConnectionHeaderTokens(const http::fields& aHead)
 {
   std::vector<std::string> names;
   const auto range = aHead.equal_range(http::field::connection);
@@ -44,7 +44,7 @@
 http::fields
 FieldsForCaller(const http::fields& aHead)
 {
-  const std::vector<std::string> listed = ListedByConnection(aHead);
+  const std::vector<std::string> listed = ConnectionHeaderTokens(aHead);
   http::fields out;
   for (const auto& field : aHead) {
     const std::string_view name{ field.name_string().data(), field.name_string().size() };
@@ -52,7 +52,7 @@
       std::any_of(listed.begin(), listed.end(), [&](const std::string& aListed) {
         return beast::iequals(aListed, field.name_string());
       });
-    if (!IsHopHeader(name) && !isListed && field.name() != http::field::content_length) {
+    if (!IsHopByHopHeader(name) && !isListed && field.name() != http::field::content_length) {
       out.insert(field.name_string(), field.value());
     }
   }
@@ -65,7 +65,8 @@
   const auto& request = aExchange.Request();
   const auto method = request.method_string();
   const auto host = request[http::field::host];
-  // A prompt is the same whoever asks; an address that is asked for without a body is not.
+  // The caller is part of the identity only without a prompt: the same prompt is one request
+  // whoever sends it, the same address without a body isn't.
   const std::string caller = aFacts.mPromptKey == 0 ? aExchange.CallerAddress() : std::string();
   request_identity identity;
   identity.mMethod = { method.data(), method.size() };
@@ -78,11 +79,14 @@
 }
 
 asio::awaitable<result<void>>
-ReadBody(upstream_connection& aConnection, std::string& aOut, std::size_t aMost, duration aLimit)
+ReadBody(upstream_connection& aConnection,
+         std::string& aOut,
+         std::size_t aMaxBytes,
+         duration aLimit)
 {
   bool more = true;
   while (more) {
-    if (aOut.size() > aMost) {
+    if (aOut.size() > aMaxBytes) {
       co_return make_error_code(errc::eBodyTooLarge);
     }
     const result<bool> read = co_await aConnection.ReadSome(aOut, aLimit);
--- a/src/forward/upstream_send.h
+++ b/src/forward/upstream_send.h
@@ -1,7 +1,7 @@
 /**
  * @file upstream_send.h
- * One send of a caller's request to one runner: builds the head, reads the head of the answer and
- * tells what can be said of it.
+ * Sends a caller's request to one runner once: builds the request head, reads the response head and
+ * classifies the outcome.
  */
 #pragma once
 
@@ -14,46 +14,46 @@
 
 namespace dunehook {
 
-/** Longest wait for a connection to a runner; halls lie some milliseconds apart. */
+/** Limit of connecting to a runner; data halls are some milliseconds apart. */
 inline constexpr duration kConnectTime = std::chrono::milliseconds(250);
-/** Time beyond a request's limit that a runner gets to tell of its own end. */
-inline constexpr duration kAnswerSlack = std::chrono::milliseconds(120);
+/** Time after a request's deadline in which a runner may still report how the request ended. */
+inline constexpr duration kResponseSlack = std::chrono::milliseconds(120);
 
 /** What is known after a send. */
-enum class send_end
+enum class send_status
 {
-  eNotSent,  ///< No connection: nothing left this daemon.
-  eNotRun,   ///< The runner told that it did not run the request.
-  eAnswered, ///< The head of an answer is there.
-  eUnknown,  ///< Something was sent, and it may have run.
+  eNotSent,  ///< No connection: nothing was sent.
+  eNotRun,   ///< The runner stated that it did not run the request.
+  eAnswered, ///< The response head was read.
+  eUnknown,  ///< Something was sent; the request may have run.
 };
 
-/** A send and the head of its answer. */
-struct upstream_answer
+/** The outcome of a send and the response head. */
+struct upstream_response
 {
-  send_end mEnd = send_end::eNotSent; ///< What is known.
-  answer_facts mFacts;                ///< Of the head, if there is one.
-  http::fields mHead;                 ///< Fields for the caller, if answered.
-  upstream_ptr mConnection;           ///< Where the body follows, if answered.
-  bool mTimedOut = false;             ///< It ended by its time limit.
-  bool mBroke = false;                ///< The connection ended before the answer did.
+  send_status mSendStatus = send_status::eNotSent; ///< How far the send got.
+  answer_facts mFacts;          ///< Parsed from the response head, if there is one.
+  http::fields mHead;           ///< Headers for the caller, if a response head was read.
+  upstream_ptr mConnection;     ///< Carries the body, if a response head was read.
+  bool mTimedOut = false;       ///< The send hit its time limit.
+  bool mConnectionLost = false; ///< The connection ended before the response did.
 };
 
-/** @return whether a field concerns one connection only. */
+/** @return whether a header is hop-by-hop. */
 bool
-IsHopHeader(std::string_view aName);
+IsHopByHopHeader(std::string_view aName);
 
-/** @return the names that a Connection field lists, in lower case. */
+/** @return the header names listed in Connection headers, in lower case. */
 std::vector<std::string>
-ListedByConnection(const http::fields& aHead);
+ConnectionHeaderTokens(const http::fields& aHead);
 
-/** @return the head to send for a caller's request, as text. */
+/** @return the request to send to a runner for a caller's request. */
 template<wire_format Wire>
 upstream_request
 BuildUpstreamRequest(const caller_exchange& aExchange, const send_plan& aPlan)
 {
   const auto& request = aExchange.Request();
-  const std::vector<std::string> listed = ListedByConnection(request);
+  const std::vector<std::string> listed = ConnectionHeaderTokens(request);
   http::fields out;
   for (const auto& field : request) {
     const std::string_view name{ field.name_string().data(), field.name_string().size() };
@@ -61,7 +61,7 @@
       std::any_of(listed.begin(), listed.end(), [&](const std::string& aListed) {
         return beast::iequals(aListed, field.name_string());
       });
-    const bool drop = IsHopHeader(name) || Wire::IsOwnHeader(name) ||
+    const bool drop = IsHopByHopHeader(name) || Wire::IsOwnHeader(name) ||
                       field.name() == http::field::content_length ||
                       (isListed && !Wire::IsFixedHeader(name) && field.name() != http::field::host);
     if (!drop) {
@@ -90,17 +90,17 @@
   return built;
 }
 
-/** @return a runner's fields as they go to the caller. */
+/** @return the headers of a runner's response that are forwarded to the caller. */
 http::fields
 FieldsForCaller(const http::fields& aHead);
 
 /**
- * Sends a request to a runner and reads the head of the answer.
+ * Sends a request to a runner and reads the response head.
  * @param aOnlyProven see upstream_pool::Take().
- * @param aLimit longest wait for the head.
+ * @param aLimit longest wait for the response head.
  */
 template<wire_format Wire>
-asio::awaitable<upstream_answer>
+asio::awaitable<upstream_response>
 SendToRunner(forward_state& aState,
              caller_exchange& aExchange,
              const endpoint& aTo,
@@ -109,95 +109,101 @@
              bool aOnlyProven,
              duration aLimit)
 {
-  upstream_answer answer;
+  upstream_response answer;
   const duration connectTime = std::min(kConnectTime, aLimit);
   result<upstream_ptr> taken =
     co_await aState.mPool.Take(aTo, aOnlyProven, aState.Now(), connectTime);
-  if (!taken || aExchange.Gone()) {
+  if (!taken || aExchange.Disconnected()) {
     if (taken) {
       aState.mPool.Give(aTo, taken.value(), aState.Now());
     }
     co_return answer;
   }
   const upstream_ptr connection = taken.value();
-  aExchange.OnGone([connection] { connection->Abort(); });
+  aExchange.OnDisconnect([connection] { connection->Abort(); });
   const upstream_request request = BuildUpstreamRequest<Wire>(aExchange, aPlan);
   const auto head = co_await connection->Start(request, aLimit);
-  answer.mEnd = send_end::eUnknown;
+  answer.mSendStatus = send_status::eUnknown;
   if (!head) {
     answer.mTimedOut = head.error() == errc::eDeadlinePassed;
-    answer.mBroke = head.error() == errc::eConnectionLost;
+    answer.mConnectionLost = head.error() == errc::eConnectionLost;
     connection->Abort();
     co_return answer;
   }
   answer.mFacts = Wire::ReadAnswer(*head.value(), head.value()->result_int());
   if (!answer.mFacts.mRequestId.empty() && answer.mFacts.mRequestId != aRequestId) {
-    connection->Abort(); // An answer to another request, in place of ours.
+    connection->Abort(); // The response belongs to another request.
     co_return answer;
   }
   connection->mKeepFor = answer.mFacts.mKeepFor;
   aState.NoteNotice(aPlan.mRunner, answer.mFacts.mNotice);
   answer.mHead = FieldsForCaller(*head.value());
   answer.mConnection = connection;
-  answer.mEnd = answer.mFacts.mNotRun ? send_end::eNotRun : send_end::eAnswered;
+  answer.mSendStatus = answer.mFacts.mNotRun ? send_status::eNotRun : send_status::eAnswered;
   if (answer.mFacts.mStatus < 200) {
     connection->Abort();
-    answer.mEnd = send_end::eUnknown;
+    answer.mSendStatus = send_status::eUnknown;
   }
   co_return answer;
 }
 
-/** @return what a send that gave no answer says of the runner. */
+/** @return what a send without a usable response says about the runner. */
 inline send_outcome
-OutcomeOf(const upstream_answer& aAnswer)
+OutcomeOf(const upstream_response& aAnswer)
 {
   if (aAnswer.mFacts.mMisdirected) {
     return send_outcome::eMisdirected;
   }
-  if (aAnswer.mEnd == send_end::eNotRun) {
+  if (aAnswer.mSendStatus == send_status::eNotRun) {
     return send_outcome::eRefused;
   }
-  const bool silent = aAnswer.mEnd == send_end::eNotSent || aAnswer.mTimedOut;
+  const bool silent = aAnswer.mSendStatus == send_status::eNotSent || aAnswer.mTimedOut;
   return silent ? send_outcome::eUnreachable : send_outcome::eFailed;
 }
 
-/** @return what a caller's request is known by among tries. */
+/** @return the fingerprint that identifies a caller's request across its retries. */
 request_fingerprint
 FingerprintOf(const caller_exchange& aExchange, const request_facts& aFacts);
 
-/** Gives a connection back: from then on it's not this caller's to end. */
+/** Returns a connection to the pool. A disconnect of the caller no longer aborts it. */
 inline void
-GiveBack(forward_state& aState,
-         caller_exchange& aExchange,
-         const endpoint& aTo,
-         const upstream_ptr& aConnection)
+ReturnConnection(forward_state& aState,
+                 caller_exchange& aExchange,
+                 const endpoint& aTo,
+                 const upstream_ptr& aConnection)
 {
-  aExchange.OnGone(nullptr);
+  aExchange.OnDisconnect(nullptr);
   aState.mPool.Give(aTo, aConnection, aState.Now());
 }
 
 /**
- * Reads what is left of an answer's body.
- * @param aMost the body may hold this many bytes.
- * @return the body, eBodyTooLarge with its start in @p aOut, or why it ended.
+ * Reads the rest of a response body.
+ * @param aMaxBytes limit of the body's size.
+ * @return success, eBodyTooLarge with the start of the body in @p aOut, or the error that ended it.
  */
 asio::awaitable<result<void>>
-ReadBody(upstream_connection& aConnection, std::string& aOut, std::size_t aMost, duration aLimit);
+ReadBody(upstream_connection& aConnection,
+         std::string& aOut,
+         std::size_t aMaxBytes,
+         duration aLimit);
 
-/** Answers that the request didn't run, and when to come back. */
+/**
+ * Sends an error response; status 503 tells that the request didn't run.
+ * @param aRetryAfter when the caller may retry; 0: not stated.
+ */
 template<wire_format Wire>
 asio::awaitable<void>
 Refuse(caller_exchange& aExchange,
        const std::string& aRequestId,
        unsigned aStatus,
-       duration aComeBackIn,
+       duration aRetryAfter,
        std::string_view aReason)
 {
   http::fields head;
   head.set(http::field::content_type, "application/json");
-  Wire::WriteRefusal(aRequestId, aComeBackIn, head);
+  Wire::WriteRefusal(aRequestId, aRetryAfter, head);
   const std::string body = Join("{\"error\":\"", aReason, "\"}");
-  co_await aExchange.Answer(aStatus, head, body);
+  co_await aExchange.Respond(aStatus, head, body);
 }
 
 } // namespace dunehook
--- a/src/roles/role_controller.h
+++ b/src/roles/role_controller.h
@@ -153,7 +153,7 @@
       mState.mRunners.NoteRoleChange(aChange.mRunner, mState.Now() + kMaxRoleChangeTime);
       run_message message;
       message.mOrdered.push_back(aChange.mRunner);
-      mState.mTell(std::move(message));
+      mState.mTellDaemons(std::move(message));
     }
     if (status == 412) {
       mTerm = 0; // The engine has orders of a later term.
--- a/tests/platform/placer_test.cpp
+++ b/tests/platform/placer_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file placer_test.cpp
- * The daemon that places generations for all is frozen, killed and stopped: callers at the others
- * are served as before. Real daemons on the stand-in of the platform.
+ * The daemon that places generations for all others is suspended, killed or stopped: callers of the
+ * other daemons must be served as before. Real daemons on the platform stand-in.
  */
 #include "tests/platform/fleet_bed.h"
 
@@ -15,16 +15,21 @@
 
 namespace {
 
-/** Until a daemon that has heard the others places for them: a digest of each, and a look; ms. */
-constexpr int kUntilPlacing = 3000;
-/** A caller's answer begins and ends within this, with engines that take no time of their own,
- * while the daemon that places says nothing: it's waited for once, for 60 ms; ms. */
-constexpr int kSoonMs = 500;
-/** Calls in a row. */
+/**
+ * Time in ms until a daemon that has heard the others places for them: one digest of each daemon
+ * and one check.
+ */
+constexpr int kPlacerChangeMs = 3000;
+/**
+ * Limit in ms of a caller's whole response, with engines that take no time of their own, while the
+ * placer is silent: it's waited for once, for 60 ms.
+ */
+constexpr int kResponseLimitMs = 500;
+/** Consecutive calls. */
 constexpr int kCalls = 5;
 
 void
-Pass(int aMs)
+SleepMs(int aMs)
 {
   std::this_thread::sleep_for(std::chrono::milliseconds(aMs));
 }
@@ -33,7 +38,9 @@
 
 TEST_GROUP(placers)
 {
-  /** Starts three daemons of one hall: the first by name places, the second comes next. */
+  /**
+   * Starts three daemons in one data hall: the first by name places, the second is next in order.
+   */
   void StartThree()
   {
     mBed.StartUsual();
@@ -42,68 +49,68 @@
     for (std::size_t daemon = 0; daemon < mBed.Daemons(); ++daemon) {
       CHECK(mBed.Daemon(daemon).WaitForLine("daemon_heard") != "");
     }
-    Pass(kUntilPlacing);
+    SleepMs(kPlacerChangeMs);
   }
-  /** Has callers at a daemon served one after the other, each soon. */
-  void ServedSoon(std::size_t aDaemon)
+  /** Checks that consecutive calls to a daemon are served within kResponseLimitMs. */
+  void CheckServedPromptly(std::size_t aDaemon)
   {
     for (int call = 0; call < kCalls; ++call) {
-      const std::string id = "g" + std::to_string(++mIds);
+      const std::string id = "g" + std::to_string(++mRequestCount);
       const instant began = boot_clock_source{}.Now();
       const answer got =
         Call(mBed.Callers(aDaemon), "POST", "/turns/a", "prompt", GenerationHeaders(id, 1000, 2));
       CHECK_EQUAL(200U, got.mStatus);
-      CHECK(boot_clock_source{}.Now() - began < std::chrono::milliseconds(kSoonMs));
-      LONGS_EQUAL(2, mBed.Seen(id).size()); // One read and one run, whoever placed it.
+      CHECK(boot_clock_source{}.Now() - began < std::chrono::milliseconds(kResponseLimitMs));
+      LONGS_EQUAL(2, mBed.Seen(id).size()); // One prefill and one run, whichever daemon placed it.
     }
   }
 
-  fleet_bed mBed; ///< The deployment.
-  int mIds = 0;   ///< Requests so far.
+  fleet_bed mBed;        ///< The deployment.
+  int mRequestCount = 0; ///< Requests sent so far.
 };
 
-TEST(placers, OneDaemonPlacesForAll)
+TEST(placers, OneDaemonPlacesForAllOthers)
 {
   StartThree();
-  ServedSoon(2);
+  CheckServedPromptly(2);
   CHECK(mBed.Daemon(2).WaitForLine("\"placed_alone\":false") != "");
-  ServedSoon(0);
+  CheckServedPromptly(0);
   CHECK(mBed.Daemon(0).WaitForLine("\"placed_alone\":false") != "");
 }
 
-TEST(placers, AFrozenOneHoldsNobodyUp)
+TEST(placers, AFrozenPlacerDelaysNoCaller)
 {
   StartThree();
   mBed.Daemon(0).Signal(SIGSTOP);
-  ServedSoon(2);
+  CheckServedPromptly(2);
   CHECK(mBed.Daemon(2).WaitForLine("placer_silent") != "");
-  CHECK(mBed.Daemon(2).WaitForLine("\"placed_alone\":false") != ""); // By the second one.
+  CHECK(mBed.Daemon(2).WaitForLine("\"placed_alone\":false") != ""); // Placed by the second daemon.
   mBed.Daemon(0).Signal(SIGCONT);
-  Pass(kUntilPlacing);
-  ServedSoon(1);
+  SleepMs(kPlacerChangeMs);
+  CheckServedPromptly(1);
 }
 
-TEST(placers, AKilledOneHoldsNobodyUp)
+TEST(placers, AKilledPlacerDelaysNoCaller)
 {
   StartThree();
   mBed.Daemon(0).Signal(SIGKILL);
-  ServedSoon(2);
+  CheckServedPromptly(2);
   CHECK(mBed.Daemon(2).WaitForLine("\"placed_alone\":false") != "");
 }
 
-TEST(placers, WithNoneThatAnswersADaemonDecidesByItself)
+TEST(placers, WithoutAnAnsweringPlacerADaemonPlacesLocally)
 {
   StartThree();
   mBed.Daemon(0).Signal(SIGSTOP);
   mBed.Daemon(1).Signal(SIGSTOP);
-  ServedSoon(2);
+  CheckServedPromptly(2);
   CHECK(mBed.Daemon(2).WaitForLine("\"placed_alone\":true") != "");
 }
 
-TEST(placers, OneThatStopsAsPlannedHoldsNobodyUp)
+TEST(placers, AStoppingPlacerDelaysNoCaller)
 {
   StartThree();
   mBed.Daemon(0).Signal(SIGTERM);
-  ServedSoon(2);
-  ServedSoon(1);
+  CheckServedPromptly(2);
+  CheckServedPromptly(1);
 }
--- a/tests/unit/forward_test.cpp
+++ b/tests/unit/forward_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file forward_test.cpp
- * What forwarding decides without I/O: routes, runners, budgets, events and messages.
+ * Forwarding decisions that need no I/O: routes, runners, retry budgets, events and messages.
  */
 #include "forward/event_splitter.h"
 #include "messages/place_message.h"
@@ -29,7 +29,7 @@
   return entry;
 }
 
-/** @return an entry of the life that was born at an instant, in ms. */
+/** @return an entry of the incarnation that started at an instant, in ms. */
 runner_entry
 Entry(const std::string& aName, std::uint64_t aBorn)
 {
@@ -97,14 +97,14 @@
   }
 };
 
-TEST(runners, AnOlderListingChangesNothing)
+TEST(runners, AnOlderListingIsIgnored)
 {
   mTable.Apply(Listing(10, { Entry("a"), Entry("b") }), kNow, false);
   mTable.Apply(Listing(9, { Entry("a") }), kNow, false);
   CHECK_EQUAL(2U, mTable.Rows().size());
 }
 
-TEST(runners, ALeavingRunnerGetsNoWorkAndDoesNotComeBack)
+TEST(runners, ALeavingRunnerGetsNoWorkEvenIfALaterListingOmitsTheLeave)
 {
   runner_entry leaving = Entry("a");
   leaving.mLeaving = true;
@@ -114,11 +114,11 @@
   CHECK(Pick() == nullptr);
 }
 
-TEST(runners, OneThatSaidItselfThatItLeavesGetsNoWorkWhateverTheListSays)
+TEST(runners, ARunnerThatAnnouncedItsLeaveGetsNoWorkWhateverTheListSays)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   CHECK_TRUE(mTable.NoteLeaves(RunnerIdOf("a")));
-  CHECK_FALSE(mTable.NoteLeaves(RunnerIdOf("a"))); // No news.
+  CHECK_FALSE(mTable.NoteLeaves(RunnerIdOf("a"))); // Already known.
   CHECK(Pick() == nullptr);
   runner_entry changed = Entry("a");
   changed.mSlots += 1;
@@ -127,18 +127,18 @@
   CHECK_FALSE(mTable.HasRunner("desk"));
 }
 
-TEST(runners, OneThatLeftIsRememberedAfterItsRowHasGone)
+TEST(runners, AnAnnouncedLeaveIsRememberedAfterTheRowIsRemoved)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.NoteLeaves(RunnerIdOf("a"));
   mTable.Apply(Listing(2, {}), kNow, false);
   mTable.RemoveGone(kNow, false);
   CHECK(mTable.Find(RunnerIdOf("a")) == nullptr);
-  mTable.Apply(Listing(3, { Entry("a") }), kNow, false); // An entry of before is seen once more.
+  mTable.Apply(Listing(3, { Entry("a") }), kNow, false); // An outdated entry is seen once more.
   CHECK(Pick() == nullptr);
 }
 
-TEST(runners, OneThatWantsNothingIsLeftAloneUntilThenAndNoLonger)
+TEST(runners, ABackingOffRunnerGetsNoWorkUntilItsBackoffEnds)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.NotePause(RunnerIdOf("a"), kNow + 3s);
@@ -151,14 +151,14 @@
   CHECK(mTable.Barred(kNow + 3s).empty());
 }
 
-TEST(runners, WhatOneTellsADaemonConcernsNoOtherDaemonsChoice)
+TEST(runners, ABackoffToldToOneDaemonDoesNotAffectOtherDaemons)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.NotePause(RunnerIdOf("a"), kNow + 3s);
   CHECK_TRUE(mTable.TakesWork(*mTable.Find(RunnerIdOf("a")), kNow));
 }
 
-TEST(runners, ALifeThatBeginsAnewHasNothingOfTheFormerOne)
+TEST(runners, ARestartedRunnerInheritsNoStateOfItsFormerIncarnation)
 {
   mTable.Apply(Listing(1, { Entry("a", 100) }), kNow, false);
   const service_runner_id former = RunnerIdOf("a", 100);
@@ -168,7 +168,7 @@
   mTable.NoteRoleChange(former, kNow + 60s);
   mTable.Find(former)->mUnderWay = 7;
   const auto changed = mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, true);
-  LONGS_EQUAL(2, changed.size()); // The one that ended and the one that began.
+  LONGS_EQUAL(2, changed.size()); // The former incarnation ended and the new one began.
   CHECK_TRUE(mTable.Find(former)->mGone);
   const runner_state* const now = Pick();
   CHECK(now != nullptr && now->mId == RunnerIdOf("a", 200));
@@ -176,7 +176,7 @@
   CHECK(mTable.FindNamed("a") == now);
 }
 
-TEST(runners, WhatComesLateOfAFormerLifeChangesNothing)
+TEST(runners, LateNewsOfAFormerIncarnationIsIgnored)
 {
   mTable.Apply(Listing(1, { Entry("a", 100) }), kNow, false);
   mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, false);
@@ -185,11 +185,11 @@
   mTable.NotePause(former, kNow + 60s);
   mTable.NoteOutcome(former, send_outcome::eUnreachable, kNow);
   CHECK(Pick() != nullptr);
-  mTable.Apply(Listing(3, { Entry("a", 100) }), kNow, false); // An entry of before.
+  mTable.Apply(Listing(3, { Entry("a", 100) }), kNow, false); // An outdated entry.
   CHECK(Pick() != nullptr && Pick()->mEntry.mBorn == 200);
 }
 
-TEST(runners, AnEntryOfAFormerLifeIsNotFollowedAfterTheNewestHasGone)
+TEST(runners, AnEntryOfAFormerIncarnationIsIgnoredAfterTheNewestIsRemoved)
 {
   mTable.Apply(Listing(1, { Entry("a", 100) }), kNow, false);
   mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, false);
@@ -200,7 +200,7 @@
   CHECK(Pick() == nullptr);
 }
 
-TEST(runners, WhatIsOfAnEarlierEraChangesNothing)
+TEST(runners, ListingsAndChangesOfAnEarlierStoreEraAreIgnored)
 {
   mTable.Apply(Listing(5, { Entry("a") }, 2), kNow, false);
   mTable.Apply(Listing(90, {}, 1), kNow, false);
@@ -212,7 +212,7 @@
   LONGS_EQUAL(0, mTable.ApplyChanges(changes, kNow, false).size());
 }
 
-TEST(runners, OneThatAnOlderCopyLacksIsKeptUntilItsWriterHasHadTime)
+TEST(runners, ARunnerMissingAfterAStoreRollbackIsKeptUntilItCanRegisterAgain)
 {
   mTable.Apply(Listing(90, { Entry("a") }, 1), kNow, false);
   mTable.Apply(Listing(5, {}, 2), kNow, false); // Offsets are lower in the new era.
@@ -222,7 +222,7 @@
   CHECK(Pick(kNow + 2600ms) == nullptr);
 }
 
-TEST(runners, OneThatAnotherTellsAnOlderCopyLacksIsKeptAsWell)
+TEST(runners, ARunnerReportedMissingAfterAStoreRollbackIsKeptAsWell)
 {
   mTable.Apply(Listing(90, { Entry("a") }, 1), kNow, false);
   runner_changes changes;
@@ -236,20 +236,20 @@
   CHECK(Pick(kNow + 2600ms) == nullptr);
 }
 
-TEST(runners, OneThatIsGoneDoesNotComeBackWithAnOlderCopy)
+TEST(runners, ARemovedRunnerDoesNotReturnWithAStoreRollback)
 {
   mTable.Apply(Listing(90, { Entry("a"), Entry("b") }, 1), kNow, false);
   mTable.Apply(Listing(91, { Entry("b") }, 1), kNow, false);
   mTable.RemoveGone(kNow, false);
   mTable.Apply(Listing(5, { Entry("a"), Entry("b") }, 2), kNow, false);
   CHECK_EQUAL("b", Pick()->mEntry.mName);
-  mTable.Apply(Listing(6, { Entry("b") }, 2), kNow + 1s, true); // Its end is written again.
+  mTable.Apply(Listing(6, { Entry("b") }, 2), kNow + 1s, true); // The removal is written again.
   mTable.RemoveGone(kNow + 3s, false);
   CHECK_EQUAL("b", Pick(kNow + 3s)->mEntry.mName);
   LONGS_EQUAL(1, mTable.Rows().size());
 }
 
-TEST(runners, AnEntryOfAnOlderCopyIsTakenInIfItStays)
+TEST(runners, AnEntryOfARolledBackStoreIsAdoptedIfItPersists)
 {
   runner_entry moved = Entry("a");
   moved.mAddress.mPort = 2;
@@ -262,7 +262,7 @@
   CHECK_EQUAL(1, Pick(kNow + 2600ms)->mEntry.mAddress.mPort);
 }
 
-TEST(runners, ALeaveInAnOlderCopyCountsAtOnce)
+TEST(runners, ALeaveInARolledBackStoreCountsAtOnce)
 {
   mTable.Apply(Listing(90, { Entry("a") }, 1), kNow, false);
   runner_entry leaving = Entry("a");
@@ -271,7 +271,7 @@
   CHECK(Pick() == nullptr);
 }
 
-TEST(runners, TwoLivesWithinAHeartbeatLeaveTheLast)
+TEST(runners, TwoRestartsWithinAHeartbeatKeepTheNewestIncarnation)
 {
   mTable.Apply(Listing(1, { Entry("a", 100) }), kNow, false);
   mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, false);
@@ -281,7 +281,7 @@
   LONGS_EQUAL(1, mTable.Rows().size());
 }
 
-TEST(runners, AnEntryThatLapsedWithTheStoreIsKeptForAWhile)
+TEST(runners, AnEntryThatExpiredDuringAStoreOutageIsKeptForAWhile)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.Apply(Listing(2, {}), kNow, true);
@@ -290,14 +290,14 @@
   CHECK(Pick(kNow + 2600ms) == nullptr);
 }
 
-TEST(runners, AnEntryThatIsGoneWithTheStoreWellEndsAtOnce)
+TEST(runners, AnEntryRemovedWhileTheStoreWorksEndsAtOnce)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.Apply(Listing(2, {}), kNow, false);
   CHECK(Pick() == nullptr);
 }
 
-TEST(runners, ALapsedEntryThatReturnsTakesWorkAgain)
+TEST(runners, AnExpiredEntryThatReturnsTakesWorkAgain)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   runner_state* const state = mTable.Find(RunnerIdOf("a"));
@@ -307,7 +307,7 @@
   CHECK(Pick() != nullptr);
 }
 
-TEST(runners, AReadingWithoutChangesKeepsAllRunners)
+TEST(runners, AnUnchangedListingKeepsAllRunners)
 {
   mTable.Apply(Listing(5, { Entry("a") }), kNow, false);
   runner_listing same;
@@ -318,7 +318,7 @@
   CHECK(Pick(kNow + 1s) != nullptr);
 }
 
-TEST(runners, ChangesThatAnotherReadApplyBetweenTheirPositionsOnly)
+TEST(runners, ChangesFromAnotherDaemonApplyOnlyFromAPositionAlreadyReached)
 {
   mTable.Apply(Listing(10, { Entry("r1"), Entry("r2") }), 1s, false);
   runner_changes changes;
@@ -331,7 +331,7 @@
   CHECK(mTable.Find(RunnerIdOf("r3")) != nullptr);
   CHECK_TRUE(mTable.Find(RunnerIdOf("r1"))->mGone);
   CHECK_FALSE(mTable.Find(RunnerIdOf("r2"))->mGone);
-  // Once more, and from a position that this table hasn't reached.
+  // The same changes again, then changes from a position that this table hasn't reached.
   LONGS_EQUAL(0, mTable.ApplyChanges(changes, 3s, false).size());
   changes.mFrom = { 0, 15 };
   changes.mTo = { 0, 20 };
@@ -340,7 +340,7 @@
   LONGS_EQUAL(12, mTable.End().mOffset);
 }
 
-TEST(runners, ARunnerThatAnotherReadAsLeavingNeverComesBack)
+TEST(runners, ARunnerAnotherDaemonSawLeavingNeverReturns)
 {
   mTable.Apply(Listing(10, { Entry("r1") }), 1s, false);
   runner_changes changes;
@@ -350,11 +350,12 @@
   changes.mListed[0].mLeaving = true;
   mTable.ApplyChanges(changes, 2s, false);
   CHECK_FALSE(mTable.TakesWork(*mTable.Find(RunnerIdOf("r1")), 2s));
-  mTable.Apply(Listing(10, { Entry("r1") }), 3s, false); // An older read of its own.
+  mTable.Apply(
+    Listing(10, { Entry("r1") }), 3s, false); // An older listing that this daemon read itself.
   CHECK_FALSE(mTable.TakesWork(*mTable.Find(RunnerIdOf("r1")), 3s));
 }
 
-TEST(runners, AMisdirectedEntryIsLeftAloneUntilItChanges)
+TEST(runners, AMisdirectedEntryGetsNoWorkUntilItChanges)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   mTable.NoteOutcome(RunnerIdOf("a"), send_outcome::eMisdirected, kNow);
@@ -376,7 +377,7 @@
   CHECK(Pick(kNow + 6s) != nullptr);
 }
 
-TEST(runners, RefusalsInARowOfAnEngineRestLongerAndAnAnswerEndsThat)
+TEST(runners, RepeatedRefusalsOfAnEngineBackOffLongerUntilItServesAgain)
 {
   runner_entry engine = Entry("a");
   engine.mRole = engine_role::eDecode;
@@ -394,7 +395,7 @@
   CHECK(Pick(kNow + 540ms) != nullptr);
 }
 
-TEST(runners, APlainRunnerThatIsFullRestsForAMomentOnly)
+TEST(runners, AFullPlainRunnerBacksOffBriefly)
 {
   mTable.Apply(Listing(1, { Entry("a") }), kNow, false);
   for (int i = 0; i < 6; ++i) {
@@ -405,7 +406,7 @@
   CHECK(mTable.HasRunner("desk"));
 }
 
-TEST(runners, OneThatFailsOftenIsChosenLess)
+TEST(runners, AnOftenFailingRunnerIsChosenLess)
 {
   mTable.Apply(Listing(1, { Entry("a"), Entry("b") }), kNow, false);
   for (int i = 0; i < 20; ++i) {
@@ -417,7 +418,7 @@
   CHECK(Pick()->mEntry.mName == "b");
 }
 
-TEST(runners, AFailureShareThatAllHaveDoesNotCount)
+TEST(runners, AFailureRateSharedByAllRunnersDoesNotCount)
 {
   mTable.Apply(Listing(1, { Entry("a"), Entry("b") }), kNow, false);
   for (int i = 0; i < 20; ++i) {
@@ -430,7 +431,7 @@
 
 TEST_GROUP(budget){};
 
-TEST(budget, ADaemonKeepsToItsShare)
+TEST(budget, ADaemonStaysWithinItsShareOfTheRetryBudget)
 {
   const retry_limits limits{ 0.2, 10s, 80.0 };
   retry_budget budget(limits, 8.0);
@@ -446,7 +447,7 @@
   CHECK(taken >= 100);
 }
 
-TEST(budget, MoreDaemonsThatAreHeardLeaveASmallerPart)
+TEST(budget, MoreKnownDaemonsLeaveASmallerShareOfTheBudget)
 {
   const retry_limits limits{ 0.0, 10s, 800.0 };
   retry_budget budget(limits, 8.0);
@@ -458,7 +459,7 @@
   CHECK(taken <= 5); // Half of an eightieth of the allowance at once.
 }
 
-TEST(budget, APlacementAnewCountsForBothOfItsSends)
+TEST(budget, ANewPlacementIsChargedForBothOfItsSends)
 {
   const retry_limits limits{ 0.0, 10s, 80.0 };
   retry_budget budget(limits, 8.0);
@@ -466,14 +467,14 @@
   for (int i = 0; i < 100; ++i) {
     taken += budget.Take(kNow, 2.0) ? 1 : 0;
   }
-  // An eighth of the allowance, of which half may go at once, by two each.
+  // An eighth of the allowance, half of which may be used at once, at two sends each.
   CHECK(taken <= 2);
   CHECK(taken >= 1);
 }
 
 TEST_GROUP(connections){};
 
-TEST(connections, AllDaemonsTogetherKeepToWhatARunnerTakes)
+TEST(connections, AllDaemonsTogetherStayWithinARunnersConnectionLimit)
 {
   for (const std::size_t daemons : { 1U, 8U, 24U, 85U }) {
     CHECK(MaxIdleConnections(110, daemons) * daemons <= 110);
@@ -486,13 +487,13 @@
 
 TEST_GROUP(events){};
 
-TEST(events, OnlyWholeEventsPass)
+TEST(events, OnlyCompleteEventsAreReturned)
 {
   event_splitter splitter;
   CHECK_EQUAL("", splitter.Feed("id: 1\nda"));
   CHECK_EQUAL("id: 1\ndata: x\n\n", splitter.Feed("ta: x\n\nid: 2\n"));
   CHECK_EQUAL(1U, *splitter.LastId());
-  splitter.DropRest();
+  splitter.DropPartialEvent();
   CHECK_EQUAL("id: 2\ndata: y\n\n", splitter.Feed("id: 2\ndata: y\n\n"));
   CHECK_EQUAL(2U, splitter.Count());
 }
@@ -506,7 +507,7 @@
 
 TEST_GROUP(run_messages){};
 
-TEST(run_messages, AgesTravelInsteadOfInstants)
+TEST(run_messages, InstantsAreEncodedAsAges)
 {
   run_message message;
   message.mDaemon = 9;
@@ -549,14 +550,14 @@
   CHECK(*read == message);
 }
 
-TEST(run_messages, BytesThatAreNoMessageAreNothing)
+TEST(run_messages, MalformedBytesDecodeToNothing)
 {
   CHECK_FALSE(DecodeRunMessage("no message", kNow).has_value());
   CHECK_FALSE(DecodeRunMessage("", kNow).has_value());
 }
 
-// Daemons' ports aren't protected: whatever comes there must end no daemon.
-TEST(run_messages, NestingWithoutEndIsNothing)
+// Daemons' ports aren't protected: no input may crash a daemon.
+TEST(run_messages, DeeplyNestedBytesDecodeToNothing)
 {
   for (const std::size_t depth : { 20U, 1000U, 65000U }) {
     const std::string nested(depth, '\x81'); // Each is an array of one.
