--- a/src/forward/gateway.h
+++ b/src/forward/gateway.h
@@ -61,8 +61,10 @@
       mListener->Shared().mLimits = aLimits;
     })
   {
-    mState.mTell = [this](run_message aMessage) { mLink.Tell(std::move(aMessage)); };
-    mState.mTellPlacers = [this](run_message aMessage) { mPlacers.Tell(std::move(aMessage)); };
+    mState.mTell = [this](run_message aMessage) { mLink.Broadcast(std::move(aMessage)); };
+    mState.mTellPlacers = [this](run_message aMessage) {
+      mPlacers.SendToPlacers(std::move(aMessage));
+    };
     mState.mReportCrash = [this](const crash_report& aReport) {
       mQuarantines.Link().NoteCrash(aReport);
     };
@@ -70,7 +72,7 @@
       mQuarantines.Link().NoteServed(aRequest);
     };
     mState.mAskPlacer = [this](place_question aQuestion, std::function<bool()> aGone) {
-      return mPlacers.Ask(std::move(aQuestion), std::move(aGone));
+      return mPlacers.RequestPlace(std::move(aQuestion), std::move(aGone));
     };
   }
 
@@ -179,10 +181,10 @@
     values["config_age_seconds"] = ToSeconds(now - mFollower.Config().InForceSince());
     values["runners_age_seconds"] = ToSeconds(now - mState.mListedAt);
     values["store_bytes_in"] = static_cast<double>(mStore.BytesIn());
-    values["config_read_seconds"] = ToSeconds(mFollower.Config().ReadingFor());
+    values["config_read_seconds"] = ToSeconds(mFollower.Config().CurrentReadDuration());
     values["runner_entries_unreadable"] = static_cast<double>(mStore.UnreadableEntries());
     values["store_era"] = static_cast<double>(mState.mRunners.End().mEra);
-    values["store_answers"] = mFollower.Contact().Answers() ? 1.0 : 0.0;
+    values["store_answers"] = mFollower.Contact().IsAnswering() ? 1.0 : 0.0;
     values["daemons"] = static_cast<double>(mState.mDaemons);
     values["generations"] = static_cast<double>(mState.mPlacement.RunCount());
     values["connections"] = static_cast<double>(sessions.mOpen);
@@ -293,12 +295,12 @@
                  "stood_still",
                  { { "ms", (now - slept - kTableTick).count() / 1000 } });
       }
-      mState.NoteRunnersChanged(mState.mRunners.Forget(now, mFollower.Contact().WasAway()));
+      mState.NoteRunnersChanged(mState.mRunners.Forget(now, mFollower.Contact().WasRecentlyAway()));
       mState.mPlacement.Prune(mState.mRunners, now);
       mState.mPool.Prune(now);
       mState.mRefused.Prune(now);
-      mLink.Sweep(now);
-      mPlacers.Tick(now - slept > kTableTick + kLatePass);
+      mLink.DropSilent(now);
+      mPlacers.UpdatePlacers(now - slept > kTableTick + kLatePass);
       mState.NoteDaemons(mLink.Members().CountServing());
       mState.mPool.SetMostIdle(MostIdle());
       mFollower.Tick();
@@ -311,7 +313,7 @@
     co_await Sleep(kRoleTick); // Until the other daemons were heard.
     for (;;) {
       co_await Sleep(kRoleTick);
-      if (!Ready() || mFollower.Contact().WasAway()) {
+      if (!Ready() || mFollower.Contact().WasRecentlyAway()) {
         continue;
       }
       role_peers peers;
--- a/src/links/config_follower.h
+++ b/src/links/config_follower.h
@@ -14,28 +14,28 @@
 /** How long the store may hold the answer while the configuration doesn't change. Shorter than 2 s,
  * the shortest time in which a change must be in force: a store may not notice what a read waits
  * for until that is over. */
-inline constexpr duration kConfigWait = std::chrono::milliseconds(1200);
+inline constexpr duration kConfigLongPollTime = std::chrono::milliseconds(1200);
 /** A wait is ended after this if another daemon has a newer configuration: it comes by itself
  * mostly. */
-inline constexpr duration kBehindFor = std::chrono::milliseconds(250);
+inline constexpr duration kBehindTolerance = std::chrono::milliseconds(250);
 /** Rest after a read that brought nothing newer although another daemon told of it, at most: a
  * claim that the store doesn't bear out costs a read a second. */
-inline constexpr duration kLongestFruitlessRest = std::chrono::milliseconds(1000);
+inline constexpr duration kMaxUnconfirmedReadBackoff = std::chrono::milliseconds(1000);
 /** The answer to a whole read must begin within this: a lost one is asked for again, early enough
  * for 2 s, the shortest time in which a change must be in force. Doubled up to the longest while a
  * store that answers other reads takes longer to begin, as one may that hands a large one to
  * hundreds of daemons. One that says nothing gets no longer time: it may come back while the answer
  * to that read is lost for good. */
-inline constexpr duration kFirstReadLimit = std::chrono::milliseconds(700);
-inline constexpr duration kLongestReadLimit = std::chrono::milliseconds(6000);
+inline constexpr duration kInitialReadTimeout = std::chrono::milliseconds(700);
+inline constexpr duration kMaxReadTimeout = std::chrono::milliseconds(6000);
 
 /** Another daemon's answer with a configuration must begin within this, and go on after a pause;
  * then the store is asked. Both together stay within the shortest time in which a change must be in
  * force, 2 s. */
-inline constexpr duration kPeerBegin = std::chrono::milliseconds(400);
-inline constexpr duration kPeerPause = std::chrono::milliseconds(300);
+inline constexpr duration kPeerResponseTimeout = std::chrono::milliseconds(400);
+inline constexpr duration kPeerIdleTimeout = std::chrono::milliseconds(300);
 /** Daemons that are asked for a configuration before the store is. */
-inline constexpr std::size_t kMostPeersAsked = 2;
+inline constexpr std::size_t kMaxPeersAsked = 2;
 
 /** The follower. */
 template<control_store Store>
@@ -69,7 +69,7 @@
         failed = true;
       }
       if (failed) {
-        co_await Rest(kLongestStoreRest);
+        co_await BackOff(kMaxStoreBackoff);
       }
     }
   }
@@ -79,36 +79,36 @@
   /** @return when the configuration came into force. */
   instant InForceSince() const { return mInForceSince; }
   /** @return how long the whole read under way has taken so far; zero if there's none. */
-  duration ReadingFor() const
+  duration CurrentReadDuration() const
   {
-    return mReadingSince == instant{ 0 } ? duration{ 0 } : mState.Now() - mReadingSince;
+    return mReadStartedAt == instant{ 0 } ? duration{ 0 } : mState.Now() - mReadStartedAt;
   }
 
   /** Ends the wait for a configuration where another daemon has a newer one: the answer that should
    * have brought it is lost or late. Call it some times a second. */
-  void EndLateWait()
+  void CancelOverdueLongPoll()
   {
     const instant now = mState.Now();
-    if (!mContact.Behind()) {
+    if (!mContact.IsBehind()) {
       mBehindSince = instant{ 0 };
       return;
     }
     if (mBehindSince == instant{ 0 }) {
       mBehindSince = now;
     }
-    if (now - mBehindSince >= kBehindFor) {
-      EndWait();
+    if (now - mBehindSince >= kBehindTolerance) {
+      CancelLongPoll();
     }
   }
   /** Ends a wait for the next configuration, if its answer hasn't begun. */
-  void EndWait()
+  void CancelLongPoll()
   {
-    if (mWaits) {
-      EndCall();
+    if (mLongPolling) {
+      CancelCall();
     }
   }
   /** Ends the wait or the read under way, if its answer hasn't begun, so that it's begun anew. */
-  void EndCall() { mEnded = mStore.StopWaiting() || mEnded; }
+  void CancelCall() { mCancelled = mStore.StopWaiting() || mCancelled; }
 
 private:
   /**
@@ -117,18 +117,18 @@
    */
   asio::awaitable<void> Step()
   {
-    if (mNext && mNext->mEra < mState.mRunners.End().mEra) {
-      mNext.reset(); // The store came back older: its offsets are given out again.
+    if (mNextPosition && mNextPosition->mEra < mState.mRunners.End().mEra) {
+      mNextPosition.reset(); // The store came back older: its offsets are given out again.
     }
-    const bool behind = mContact.Behind();
-    const bool leaves = !behind && (!mContact.Asks() || mContact.RunnersFail());
+    const bool behind = mContact.IsBehind();
+    const bool leaves = !behind && (!mContact.IsReader() || mContact.RunnerReadFailed());
     if (leaves) {
-      mAnswered = false;
-      co_await Sleep(kLookAtTold);
-    } else if (behind && mPeersAsked < kMostPeersAsked) {
+      mLastPollAnswered = false;
+      co_await Sleep(kReportCheckInterval);
+    } else if (behind && mPeersAsked < kMaxPeersAsked) {
       co_await AskPeer(mPeersAsked++);
-    } else if (mNext && !mContact.Behind()) {
-      co_await AwaitNext(*mNext);
+    } else if (mNextPosition && !mContact.IsBehind()) {
+      co_await LongPollNext(*mNextPosition);
     } else {
       co_await ReadNewest();
     }
@@ -151,7 +151,7 @@
                { "outcome", reading ? "ok" : ErrorName(reading.error()) },
                { "ms", (mState.Now() - began).count() / 1000 } });
     if (reading) {
-      Use(reading.value());
+      ApplyReading(reading.value());
     }
   }
 
@@ -161,12 +161,13 @@
     http_call call;
     call.mTarget = Join(kConfigPath, "?", kAfterParameter, "=", mState.mRoutes->Config().mVersion);
     BOOST_OUTCOME_CO_TRY(const http_connection_ptr connection,
-                         co_await http_connection::Connect(aAt, kPeerBegin));
-    BOOST_OUTCOME_CO_TRY(const unsigned status, co_await connection->Start(call, kPeerBegin));
+                         co_await http_connection::Connect(aAt, kPeerResponseTimeout));
+    BOOST_OUTCOME_CO_TRY(const unsigned status,
+                         co_await connection->Start(call, kPeerResponseTimeout));
     std::string text;
     bool more = true;
     while (more) {
-      BOOST_OUTCOME_CO_TRY(more, co_await connection->ReadSome(text, kPeerPause));
+      BOOST_OUTCOME_CO_TRY(more, co_await connection->ReadSome(text, kPeerIdleTimeout));
     }
     if (status != 200) {
       co_return make_error_code(errc::eLogUnavailable);
@@ -174,7 +175,7 @@
     config_reading reading;
     BOOST_OUTCOME_CO_TRY(reading.mConfig, Store::DecodeText(text));
     reading.mText = std::make_shared<const std::string>(std::move(text));
-    const std::optional<store_mark> next = MarkFromText(connection->Header(kNextHeader));
+    const std::optional<store_mark> next = ParseMark(connection->Header(kNextHeader));
     reading.mMore = !next;
     reading.mNext = next.value_or(store_mark{});
     co_return reading;
@@ -182,65 +183,65 @@
 
   /** Waits for the configuration after the one in force. What was written while this daemon didn't
    * ask, or wasn't answered, is asked for without a wait: a store may notice it at the end only. */
-  asio::awaitable<void> AwaitNext(store_mark aNext)
+  asio::awaitable<void> LongPollNext(store_mark aNext)
   {
     const instant began = mState.Now();
-    const bool waits = mAnswered;
-    mEnded = false;
-    mWaits = true;
+    const bool waits = mLastPollAnswered;
+    mCancelled = false;
+    mLongPolling = true;
     result<config_reading> reading =
-      co_await mStore.AwaitConfig(aNext, waits ? kConfigWait : duration{ 0 });
-    mWaits = false;
-    mAnswered = reading.has_value();
-    if (!reading && mEnded) {
+      co_await mStore.AwaitConfig(aNext, waits ? kConfigLongPollTime : duration{ 0 });
+    mLongPolling = false;
+    mLastPollAnswered = reading.has_value();
+    if (!reading && mCancelled) {
       co_return; // What to read is decided anew.
     }
     const bool forgotten = !reading && reading.error() == errc::eRetentionPassed;
     mContact.NoteAnswer(reading || forgotten, "config");
     if (forgotten) {
-      mNext.reset();
+      mNextPosition.reset();
     }
     if (!reading) {
-      co_await Rest(kLongestStoreRest);
+      co_await BackOff(kMaxStoreBackoff);
       co_return;
     }
-    mRest = kFirstStoreRest;
-    mContact.NoteDoubt(false);
-    const bool newer = Use(reading.value());
-    if (waits && !newer && mState.Now() - began < kLookAtTold) {
-      co_await Sleep(kLookAtTold); // The store didn't hold the answer.
+    mBackoff = kInitialStoreBackoff;
+    mContact.NoteConfigTimeout(false);
+    const bool newer = ApplyReading(reading.value());
+    if (waits && !newer && mState.Now() - began < kReportCheckInterval) {
+      co_await Sleep(kReportCheckInterval); // The store didn't hold the answer.
     }
   }
 
   /** Reads the newest configuration whole. */
   asio::awaitable<void> ReadNewest()
   {
-    const bool behind = mContact.Behind();
+    const bool behind = mContact.IsBehind();
     if (behind) {
-      LogEvent(
-        log_level::eInfo,
-        "config_behind",
-        { { "own", mState.mRoutes->Config().mVersion }, { "newest", mContact.NewestTold() } });
+      LogEvent(log_level::eInfo,
+               "config_behind",
+               { { "own", mState.mRoutes->Config().mVersion },
+                 { "newest", mContact.NewestReportedConfig() } });
     }
-    mEnded = false;
+    mCancelled = false;
     result<config_reading> reading = co_await ReadWhole(behind ? "behind" : "no_position");
-    if (!reading && mEnded) {
+    if (!reading && mCancelled) {
       co_return;
     }
     mContact.NoteAnswer(reading.has_value(), "config");
     if (!reading) {
-      co_await Rest(kLongestStoreRest);
+      co_await BackOff(kMaxStoreBackoff);
       co_return;
     }
     if (reading.value().mConfig) {
       mContact.NoteConfig(reading.value().mConfig->mVersion);
     }
-    const bool newer = Use(reading.value());
+    const bool newer = ApplyReading(reading.value());
     if (newer || !behind) {
-      mRest = kFirstStoreRest;
+      mBackoff = kInitialStoreBackoff;
     }
     if (behind && !newer) {
-      co_await Rest(kLongestFruitlessRest);
+      co_await BackOff(kMaxUnconfirmedReadBackoff);
     }
   }
 
@@ -249,13 +250,14 @@
   {
     const std::uint64_t bytes = mStore.BytesIn();
     const instant began = mState.Now();
-    mReadingSince = began;
-    result<config_reading> reading = co_await mStore.ReadConfig(mReadLimit);
-    mReadingSince = instant{ 0 };
+    mReadStartedAt = began;
+    result<config_reading> reading = co_await mStore.ReadConfig(mReadTimeout);
+    mReadStartedAt = instant{ 0 };
     const bool late = !reading && reading.error() == errc::eDeadlinePassed;
     const bool answersOthers = late && mContact.RunnersAnsweredSince(began);
-    mReadLimit = answersOthers ? std::min(mReadLimit * 2, kLongestReadLimit) : kFirstReadLimit;
-    mContact.NoteDoubt(late);
+    mReadTimeout =
+      answersOthers ? std::min(mReadTimeout * 2, kMaxReadTimeout) : kInitialReadTimeout;
+    mContact.NoteConfigTimeout(late);
     const bool has = reading && reading.value().mConfig;
     LogEvent(log_level::eInfo,
              "config_read",
@@ -268,11 +270,11 @@
   }
 
   /** Puts what was read in force. @return whether it's newer than what was. */
-  bool Use(const config_reading& aReading)
+  bool ApplyReading(const config_reading& aReading)
   {
-    mNext = aReading.mNext;
+    mNextPosition = aReading.mNext;
     if (aReading.mMore) {
-      mNext.reset(); // The newest is read at once, not one version after the other.
+      mNextPosition.reset(); // The newest is read at once, not one version after the other.
     }
     return aReading.mConfig && PutInForce(aReading);
   }
@@ -293,16 +295,16 @@
     mOnConfig(config.mLimits);
     mLink.Members().SetSelf(config.mVersion, !mState.mStopping);
     mState.mRoutes = std::make_shared<const route_table>(config);
-    mSource.Set({ aReading.mText, mNext });
-    mContact.TellPosition();
+    mSource.Set({ aReading.mText, mNextPosition });
+    mContact.BroadcastPosition();
     return true;
   }
 
   /** Leaves the store alone for a moment, which gets longer until something newer is read. */
-  asio::awaitable<void> Rest(duration aLongest)
+  asio::awaitable<void> BackOff(duration aLongest)
   {
-    const duration rest = mRest;
-    mRest = std::min(mRest * 2, aLongest);
+    const duration rest = mBackoff;
+    mBackoff = std::min(mBackoff * 2, aLongest);
     co_await Sleep(rest);
   }
 
@@ -313,15 +315,16 @@
   config_source mSource;       ///< Hands the configuration on.
   std::size_t mPeersAsked = 0; ///< Daemons asked for the version that is behind.
   std::function<void(const caller_limits&)> mOnConfig; ///< Told of new limits.
-  std::optional<store_mark> mNext;                     ///< Where to wait for a configuration.
-  duration mRest = kFirstStoreRest;                    ///< The next rest.
-  duration mReadLimit = kFirstReadLimit;               ///< For the next whole read to begin.
-  instant mReadingSince{ 0 };                          ///< Begin of the whole read; zero if none.
+  std::optional<store_mark> mNextPosition;             ///< Where to wait for a configuration.
+  duration mBackoff = kInitialStoreBackoff;            ///< The next rest.
+  duration mReadTimeout = kInitialReadTimeout;         ///< For the next whole read to begin.
+  instant mReadStartedAt{ 0 };                         ///< Begin of the whole read; zero if none.
   instant mBehindSince{ 0 };                           ///< Another daemon has a newer version.
   instant mInForceSince{ 0 };                          ///< When the version came into force.
-  bool mWaits = false;                                 ///< A wait is under way.
-  bool mAnswered = false; ///< AwaitNext() was answered last, and this daemon has asked on since.
-  bool mEnded = false;    ///< The call was ended by this daemon.
+  bool mLongPolling = false;                           ///< A wait is under way.
+  bool mLastPollAnswered =
+    false; ///< LongPollNext() was answered last, and this daemon has asked on since.
+  bool mCancelled = false; ///< The call was ended by this daemon.
 };
 
 } // namespace dunehook
--- a/src/links/config_source.h
+++ b/src/links/config_source.h
@@ -19,12 +19,12 @@
 inline constexpr std::string_view kNextHeader = "Config-Next";
 /** A daemon hands out one configuration at a time for each so many Mbit/s of its link, so that a
  * large one is through in the time in which the store's answer must begin. */
-inline constexpr double kMegabitsOfOne = 12.0;
+inline constexpr double kMegabitsPerTransfer = 12.0;
 /** A question waits so long for a turn, or for a version that is on its way: the asker has as long
  * left for the store. */
-inline constexpr duration kSourceWait = std::chrono::milliseconds(300);
+inline constexpr duration kMaxTurnWait = std::chrono::milliseconds(300);
 /** Time between looks for a turn. */
-inline constexpr duration kLookForTurn = std::chrono::milliseconds(10);
+inline constexpr duration kTurnCheckInterval = std::chrono::milliseconds(10);
 
 /** @return a position as "era:offset". */
 inline std::string
@@ -35,7 +35,7 @@
 
 /** @return the position that ToText() wrote, or nothing if it's none. */
 inline std::optional<store_mark>
-MarkFromText(const std::string& aText)
+ParseMark(const std::string& aText)
 {
   const std::vector<std::string> parts = absl::StrSplit(aText, ':');
   store_mark mark;
@@ -45,7 +45,7 @@
 }
 
 /** The configuration in force, as it's handed on. */
-struct config_copy
+struct served_config
 {
   std::shared_ptr<const std::string> mText; ///< Null until one is in force.
   std::optional<store_mark> mNext;          ///< Where to wait for the next in the store, if known.
@@ -57,14 +57,14 @@
 public:
   explicit config_source(forward_state& aState)
     : mState(aState)
-    , mMost(std::max<std::size_t>(
+    , mMaxTransfers(std::max<std::size_t>(
         1,
-        static_cast<std::size_t>(aState.mSettings.mLinkMegabits / kMegabitsOfOne)))
+        static_cast<std::size_t>(aState.mSettings.mLinkMegabits / kMegabitsPerTransfer)))
   {
   }
 
   /** Sets what is handed on: the configuration in force. */
-  void Set(config_copy aCopy) { mCopy = std::move(aCopy); }
+  void Set(served_config aCopy) { mServed = std::move(aCopy); }
 
   /** Answers a daemon: 200 with the text, or 503 if it isn't its turn, or there's nothing newer. */
   asio::awaitable<void> Answer(exchange_ptr aExchange)
@@ -72,33 +72,34 @@
     std::uint64_t after = 0;
     const std::string wanted = aExchange->Query(kAfterParameter);
     const bool good = absl::SimpleAtoi(wanted, &after) && aExchange->Path() == kConfigPath;
-    const instant until = mState.Now() + kSourceWait;
+    const instant until = mState.Now() + kMaxTurnWait;
     while (good && !CanServe(after) && mState.Now() < until && !aExchange->CallerGone()) {
-      co_await Sleep(kLookForTurn);
+      co_await Sleep(kTurnCheckInterval);
     }
     header_list headers;
     if (!good || !CanServe(after)) {
       co_await aExchange->Respond(good ? 503 : 404, std::string(), headers);
       co_return;
     }
-    if (mCopy.mNext) {
-      headers.emplace_back(kNextHeader, ToText(*mCopy.mNext));
+    if (mServed.mNext) {
+      headers.emplace_back(kNextHeader, ToText(*mServed.mNext));
     }
-    ++mServing;
-    co_await aExchange->Respond(200, *mCopy.mText, headers);
-    --mServing;
+    ++mActiveTransfers;
+    co_await aExchange->Respond(200, *mServed.mText, headers);
+    --mActiveTransfers;
   }
 
 private:
   bool CanServe(std::uint64_t aAfter) const
   {
-    return mCopy.mText && mState.mRoutes->Config().mVersion > aAfter && mServing < mMost;
+    return mServed.mText && mState.mRoutes->Config().mVersion > aAfter &&
+           mActiveTransfers < mMaxTransfers;
   }
 
-  forward_state& mState;    ///< Shared.
-  config_copy mCopy;        ///< What is handed on.
-  std::size_t mMost;        ///< Answers under way at once; at least 1.
-  std::size_t mServing = 0; ///< Answers under way.
+  forward_state& mState;            ///< Shared.
+  served_config mServed;            ///< What is handed on.
+  std::size_t mMaxTransfers;        ///< Answers under way at once; at least 1.
+  std::size_t mActiveTransfers = 0; ///< Answers under way.
 };
 
 } // namespace dunehook
--- a/src/links/daemon_link.cpp
+++ b/src/links/daemon_link.cpp
@@ -12,16 +12,16 @@
 
 /** Time between heartbeats, and silence after which a daemon is gone: three are lost, and a rest.
  */
-constexpr duration kHeartbeatEvery = std::chrono::milliseconds(500);
-constexpr duration kDaemonSilence = std::chrono::milliseconds(1800);
+constexpr duration kHeartbeatInterval = std::chrono::milliseconds(500);
+constexpr duration kFailureTimeout = std::chrono::milliseconds(1800);
 /** Bytes a second that a daemon spends on heartbeats; beyond some 15 daemons news is passed on. */
-constexpr double kHeartbeatBytes = 4096.0;
+constexpr double kHeartbeatBytesPerSecond = 4096.0;
 /** A daemon asks others for all members for so long after its start, with each heartbeat: in a
  * large group heartbeats alone take many times as long to tell of everybody. */
-constexpr duration kAsksFor = std::chrono::seconds(5);
+constexpr duration kMemberRequestPeriod = std::chrono::seconds(5);
 /** Largest datagram of runs, and of a heartbeat. */
-constexpr std::size_t kRunBytes = 65536;
-constexpr std::size_t kHeartbeatMost = 4096;
+constexpr std::size_t kMaxRunDatagramBytes = 65536;
+constexpr std::size_t kMaxHeartbeatDatagramBytes = 4096;
 
 member_info
 SelfOf(const gateway_settings& aSettings)
@@ -39,16 +39,16 @@
 HeartbeatSettings()
 {
   member_settings settings;
-  settings.mHeartbeat = kHeartbeatEvery;
-  settings.mFailAfter = kDaemonSilence;
-  settings.mBytesPerSecond = kHeartbeatBytes;
+  settings.mHeartbeat = kHeartbeatInterval;
+  settings.mFailAfter = kFailureTimeout;
+  settings.mBytesPerSecond = kHeartbeatBytesPerSecond;
   return settings;
 }
 
 } // namespace
 
 endpoint
-RunsAt(const endpoint& aDaemon)
+RunEndpointOf(const endpoint& aDaemon)
 {
   return { aDaemon.mAddress, static_cast<std::uint16_t>(aDaemon.mPort + 1) };
 }
@@ -56,8 +56,8 @@
 daemon_link::daemon_link(forward_state& aState)
   : mState(aState)
   , mMembers(SelfOf(aState.mSettings), HeartbeatSettings(), {})
-  , mHeartbeats(aState.mIo)
-  , mRuns(aState.mIo)
+  , mHeartbeatSocket(aState.mIo)
+  , mRunSocket(aState.mIo)
 {
 }
 
@@ -65,8 +65,8 @@
 daemon_link::Open()
 {
   const endpoint& own = mState.mSettings.mPeers;
-  BOOST_OUTCOME_TRY(OpenUdp(mHeartbeats, own));
-  BOOST_OUTCOME_TRY(OpenUdp(mRuns, RunsAt(own)));
+  BOOST_OUTCOME_TRY(OpenUdp(mHeartbeatSocket, own));
+  BOOST_OUTCOME_TRY(OpenUdp(mRunSocket, RunEndpointOf(own)));
   AddSeeds();
   return boost::outcome_v2::success();
 }
@@ -87,43 +87,44 @@
   mReady = std::move(aReady);
   SpawnGuarded(mState.mIo, SendHeartbeats());
   SpawnGuarded(mState.mIo,
-               TakeDatagrams(mHeartbeats,
-                             kHeartbeatMost,
+               TakeDatagrams(mHeartbeatSocket,
+                             kMaxHeartbeatDatagramBytes,
                              [this](std::string_view aData, const udp::endpoint& /*aFrom*/) {
-                               TakeHeartbeat(aData, mState.Now());
+                               HandleHeartbeat(aData, mState.Now());
+                             }));
+  SpawnGuarded(mState.mIo,
+               TakeDatagrams(mRunSocket,
+                             kMaxRunDatagramBytes,
+                             [this](std::string_view aData, const udp::endpoint& aFrom) {
+                               const instant now = mState.Now();
+                               if (const auto message = DecodeRunMessage(aData, now)) {
+                                 Apply(*message, aFrom, now);
+                               }
                              }));
-  SpawnGuarded(
-    mState.mIo,
-    TakeDatagrams(mRuns, kRunBytes, [this](std::string_view aData, const udp::endpoint& aFrom) {
-      const instant now = mState.Now();
-      if (const auto message = DecodeRunMessage(aData, now)) {
-        Apply(*message, aFrom, now);
-      }
-    }));
 }
 
 void
-daemon_link::Tell(run_message aMessage)
+daemon_link::Broadcast(run_message aMessage)
 {
   std::vector<endpoint> all;
   for (const auto& [id, member] : mMembers.Others()) {
-    all.push_back(RunsAt(member.mInfo.mAddress));
+    all.push_back(RunEndpointOf(member.mInfo.mAddress));
   }
-  TellSome(std::move(aMessage), all);
+  SendToAll(std::move(aMessage), all);
 }
 
 void
-daemon_link::TellSome(run_message aMessage, const std::vector<endpoint>& aTo)
+daemon_link::SendToAll(run_message aMessage, const std::vector<endpoint>& aTo)
 {
   aMessage.mDaemon = mMembers.Self().mIncarnation.mValue;
   const std::string data = Encode(aMessage, mState.Now());
   for (const endpoint& to : aTo) {
-    SendUdp(mRuns, data, to);
+    SendUdp(mRunSocket, data, to);
   }
 }
 
 std::optional<endpoint>
-daemon_link::DrawOther()
+daemon_link::PickRandomPeer()
 {
   const std::size_t count = mMembers.Others().size();
   if (count == 0) {
@@ -131,11 +132,11 @@
   }
   auto chosen = mMembers.Others().begin();
   std::advance(chosen, static_cast<std::size_t>(mState.Draw() * static_cast<double>(count)));
-  return RunsAt(chosen->second.mInfo.mAddress);
+  return RunEndpointOf(chosen->second.mInfo.mAddress);
 }
 
 void
-daemon_link::Sweep(instant aNow)
+daemon_link::DropSilent(instant aNow)
 {
   for (const member_info& gone : mMembers.Sweep(aNow).mGone) {
     LogEvent(log_level::eInfo, "daemon_silent", { { "daemon", gone.mName } });
@@ -150,28 +151,28 @@
     mMembers.SetSelf(mState.mRoutes ? mState.mRoutes->Config().mVersion : 0, mReady());
     const heartbeat beat = mMembers.BuildHeartbeat(mState.Now());
     for (const endpoint& to : beat.mTo) {
-      SendUdp(mHeartbeats, beat.mData, to);
+      SendUdp(mHeartbeatSocket, beat.mData, to);
     }
-    AskForMembers();
-    co_await Sleep(kHeartbeatEvery);
+    RequestMembers();
+    co_await Sleep(kHeartbeatInterval);
   }
 }
 
 void
-daemon_link::AskForMembers()
+daemon_link::RequestMembers()
 {
   const instant now = mState.Now();
-  mStarted = mStarted == instant{ 0 } ? now : mStarted;
-  if (now - mStarted > kAsksFor) {
+  mFirstHeartbeatAt = mFirstHeartbeatAt == instant{ 0 } ? now : mFirstHeartbeatAt;
+  if (now - mFirstHeartbeatAt > kMemberRequestPeriod) {
     return;
   }
   if (const std::optional<endpoint> asked = mMembers.DrawAsked()) {
-    SendUdp(mHeartbeats, mMembers.BuildQuestion(), *asked);
+    SendUdp(mHeartbeatSocket, mMembers.BuildQuestion(), *asked);
   }
 }
 
 void
-daemon_link::TakeHeartbeat(std::string_view aData, instant aNow)
+daemon_link::HandleHeartbeat(std::string_view aData, instant aNow)
 {
   const member_changes changes = mMembers.Receive(aData, aNow);
   for (const member_info& joined : changes.mJoined) {
@@ -184,12 +185,12 @@
     return;
   }
   for (const std::string& answer : mMembers.BuildAnswers()) {
-    SendUdp(mHeartbeats, answer, *changes.mAsked);
+    SendUdp(mHeartbeatSocket, answer, *changes.mAsked);
   }
 }
 
 void
-daemon_link::NoteTold(const run_message& aMessage, instant aNow)
+daemon_link::ApplyStorePosition(const run_message& aMessage, instant aNow)
 {
   const store_position& position = *aMessage.mStore;
   if (aMessage.mRunners) {
@@ -214,11 +215,11 @@
 void
 daemon_link::Apply(const run_message& aMessage, const udp::endpoint& aFrom, instant aNow)
 {
-  if (aMessage.mQuarantine && mTakeQuarantine) {
-    mTakeQuarantine(*aMessage.mQuarantine, EndpointOf(aFrom));
+  if (aMessage.mQuarantine && mQuarantineHandler) {
+    mQuarantineHandler(*aMessage.mQuarantine, EndpointOf(aFrom));
   }
   if (aMessage.mStore) {
-    NoteTold(aMessage, aNow);
+    ApplyStorePosition(aMessage, aNow);
   }
   if (aMessage.mStoreSilent) {
     mState.mToldSilentAt = aNow;
--- a/src/links/daemon_link.h
+++ b/src/links/daemon_link.h
@@ -12,7 +12,7 @@
 
 /** @return where a daemon takes run messages: the port behind that of its heartbeats. */
 endpoint
-RunsAt(const endpoint& aDaemon);
+RunEndpointOf(const endpoint& aDaemon);
 
 /** The link of one daemon to all others. */
 class daemon_link
@@ -27,25 +27,25 @@
   /** Adds the seeds of the settings. */
   void AddSeeds();
   /** Tells all daemons that are heard. */
-  void Tell(run_message aMessage);
+  void Broadcast(run_message aMessage);
   /** Tells some daemons. @param aTo where they take run messages. */
-  void TellSome(run_message aMessage, const std::vector<endpoint>& aTo);
+  void SendToAll(run_message aMessage, const std::vector<endpoint>& aTo);
   /** Tells one daemon.  @param aTo where it takes run messages. */
-  void TellOne(run_message aMessage, const endpoint& aTo)
+  void SendTo(run_message aMessage, const endpoint& aTo)
   {
-    TellSome(std::move(aMessage), { aTo });
+    SendToAll(std::move(aMessage), { aTo });
   }
   /** @param aTake takes what others tell of quarantines, and where the sender takes answers. */
-  void OnQuarantine(std::function<void(const quarantine_message&, const endpoint&)> aTake)
+  void SetQuarantineHandler(std::function<void(const quarantine_message&, const endpoint&)> aTake)
   {
-    mTakeQuarantine = std::move(aTake);
+    mQuarantineHandler = std::move(aTake);
   }
   /** @return where another daemon takes run messages, drawn from those that are heard. */
-  std::optional<endpoint> DrawOther();
+  std::optional<endpoint> PickRandomPeer();
   /** @return how many daemons of this one's hall that take callers come before it. */
   std::size_t RankInHall() const { return mMembers.RankInHall(); }
   /** Drops daemons that fell silent, with the runs that they told of. */
-  void Sweep(instant aNow);
+  void DropSilent(instant aNow);
 
   member_table& Members() { return mMembers; }
   const member_table& Members() const { return mMembers; }
@@ -55,22 +55,22 @@
 
   asio::awaitable<void> SendHeartbeats();
   /** Asks another daemon for all members, in the first seconds of this one. */
-  void AskForMembers();
-  void TakeHeartbeat(std::string_view aData, instant aNow);
+  void RequestMembers();
+  void HandleHeartbeat(std::string_view aData, instant aNow);
   void Apply(const run_message& aMessage, const udp::endpoint& aFrom, instant aNow);
   /** Notes how far the store is as another daemon tells it. */
-  void NoteTold(const run_message& aMessage, instant aNow);
+  void ApplyStorePosition(const run_message& aMessage, instant aNow);
   /** Applies what a message tells of engines and of finished runs. */
   void ApplyReports(const run_message& aMessage, instant aNow);
 
-  forward_state& mState;   ///< Shared.
-  member_table mMembers;   ///< The other daemons.
-  udp::socket mHeartbeats; ///< Heartbeats.
-  udp::socket mRuns;       ///< Run messages.
+  forward_state& mState;        ///< Shared.
+  member_table mMembers;        ///< The other daemons.
+  udp::socket mHeartbeatSocket; ///< Heartbeats.
+  udp::socket mRunSocket;       ///< Run messages.
   /** Takes what others tell of quarantines. */
-  std::function<void(const quarantine_message&, const endpoint&)> mTakeQuarantine;
-  std::function<bool()> mReady; ///< Whether this daemon takes callers.
-  instant mStarted{ 0 };        ///< When the first heartbeat was sent.
+  std::function<void(const quarantine_message&, const endpoint&)> mQuarantineHandler;
+  std::function<bool()> mReady;   ///< Whether this daemon takes callers.
+  instant mFirstHeartbeatAt{ 0 }; ///< When the first heartbeat was sent.
 };
 
 } // namespace dunehook
--- a/src/links/placer_link.h
+++ b/src/links/placer_link.h
@@ -13,16 +13,16 @@
 
 /** A placing daemon answers at once, if only that the question waits. One that has used up its part
  * of a core answers some tens of milliseconds later. */
-inline constexpr duration kPlacerAnswers = std::chrono::milliseconds(60);
+inline constexpr duration kPlacerResponseTimeout = std::chrono::milliseconds(60);
 /** A placing daemon that didn't answer isn't asked for so long. */
-inline constexpr duration kPlacerRest = std::chrono::milliseconds(1500);
+inline constexpr duration kPlacerRetryDelay = std::chrono::milliseconds(1500);
 /** A daemon places once it has heard a digest of each other daemon's runs: they come each second.
  */
-inline constexpr duration kPlacerListens = std::chrono::milliseconds(1250);
+inline constexpr duration kPlacerWarmUp = std::chrono::milliseconds(1250);
 /** Daemons that are told of all runs: the one that places, and the next, which takes over. */
-inline constexpr std::size_t kPlacers = 2;
+inline constexpr std::size_t kMaxPlacers = 2;
 /** Time between tries for questions that wait. */
-inline constexpr duration kQueueTick = std::chrono::milliseconds(15);
+inline constexpr duration kQueueInterval = std::chrono::milliseconds(15);
 
 /** The link. */
 class placer_link
@@ -41,68 +41,68 @@
    * @param aGone tells whether the caller has left.
    * @return the answer, or nothing if this daemon must decide by itself.
    */
-  asio::awaitable<std::optional<place_reply>> Ask(place_question aQuestion,
-                                                  std::function<bool()> aGone);
+  asio::awaitable<std::optional<place_reply>> RequestPlace(place_question aQuestion,
+                                                           std::function<bool()> aGone);
   /** Tells the daemons that place of runs. */
-  void Tell(run_message aMessage);
+  void SendToPlacers(run_message aMessage);
   /** Looks which daemons place. Call it some times a second. @param aLate this pass was late: the
    * process has stood still. */
-  void Tick(bool aLate);
+  void UpdatePlacers(bool aLate);
 
 private:
   using udp = asio::ip::udp;
 
   /** A question on its way. */
-  struct open_question
+  struct pending_question
   {
-    open_question(asio::io_context& aIo, std::uint32_t aRound)
+    pending_question(asio::io_context& aIo, std::uint32_t aRound)
       : mRound(aRound)
-      , mAnswered(aIo)
+      , mReplyArrived(aIo)
     {
     }
 
     std::uint32_t mRound;              ///< Of the question.
     std::optional<place_reply> mReply; ///< The newest answer.
-    wake_list mAnswered;               ///< Woken when an answer comes.
+    wake_list mReplyArrived;           ///< Woken when an answer comes.
   };
   /** A daemon that places. */
   struct placer
   {
     incarnation_id mIncarnation; ///< Its run.
-    endpoint mAt;                ///< Where it takes questions.
-    endpoint mRunsAt;            ///< Where it takes run messages.
+    endpoint mQuestionEndpoint;  ///< Where it takes questions.
+    endpoint mRunEndpoint;       ///< Where it takes run messages.
     bool mSelf = false;          ///< It's this daemon.
   };
 
   /** Takes a question or an answer. */
-  void Take(std::string_view aData, const udp::endpoint& aFrom);
-  asio::awaitable<void> TickQueue();
+  void HandleDatagram(std::string_view aData, const udp::endpoint& aFrom);
+  asio::awaitable<void> ProcessQueue();
   asio::awaitable<void> SendDigests();
   /** Asks one daemon, and waits for the last answer. */
-  asio::awaitable<std::optional<place_reply>> AskOne(const placer& aPlacer,
-                                                     const place_question& aQuestion,
-                                                     const std::function<bool()>& aGone);
+  asio::awaitable<std::optional<place_reply>> RequestFrom(const placer& aPlacer,
+                                                          const place_question& aQuestion,
+                                                          const std::function<bool()>& aGone);
   /** Waits for an answer. @return whether one came in time. */
-  asio::awaitable<bool> Await(std::shared_ptr<open_question> aOpen,
-                              instant aUntil,
-                              const std::function<bool()>& aGone);
+  asio::awaitable<bool> WaitForReply(std::shared_ptr<pending_question> aPending,
+                                     instant aUntil,
+                                     const std::function<bool()>& aGone);
   place_reply Answer(const place_question& aQuestion, std::uint64_t aDaemon, const endpoint& aFrom);
   /** Hands an answer to whoever asked. @return whether somebody still waits for it. */
   bool Deliver(const place_reply& aReply);
   /** Takes a question back whose caller has left, and the place that it may have. */
   void Withdraw(run_id aRun);
-  bool Rests(const placer& aPlacer) const;
+  bool IsSkipped(const placer& aPlacer) const;
 
-  forward_state& mState;                                  ///< Shared.
-  daemon_link& mLink;                                     ///< The other daemons.
-  udp::socket mSocket;                                    ///< Questions and answers.
-  std::function<bool()> mReady;                           ///< This daemon takes callers.
-  std::vector<placer> mPlacers;                           ///< The first ones, in order.
-  std::map<incarnation_id, instant> mRestUntil;           ///< Those that didn't answer.
-  std::map<run_id, std::shared_ptr<open_question>> mOpen; ///< Questions on their way.
-  instant mListensUntil{ 0 };                             ///< This daemon places after that.
-  std::uint32_t mRounds = 0;                              ///< Questions asked.
-  std::uint32_t mEmptyDigests = 0;                        ///< Told in a row.
+  forward_state& mState;                                        ///< Shared.
+  daemon_link& mLink;                                           ///< The other daemons.
+  udp::socket mSocket;                                          ///< Questions and answers.
+  std::function<bool()> mReady;                                 ///< This daemon takes callers.
+  std::vector<placer> mPlacers;                                 ///< The first ones, in order.
+  std::map<incarnation_id, instant> mSkippedUntil;              ///< Those that didn't answer.
+  std::map<run_id, std::shared_ptr<pending_question>> mPending; ///< Questions on their way.
+  instant mWarmUpUntil{ 0 };                                    ///< This daemon places after that.
+  std::uint32_t mRounds = 0;                                    ///< Questions asked.
+  std::uint32_t mEmptyDigests = 0;                              ///< Told in a row.
 };
 
 } // namespace dunehook
--- a/src/links/quarantine_link.cpp
+++ b/src/links/quarantine_link.cpp
@@ -10,8 +10,9 @@
   : mState(aState)
   , mLink(aLink)
 {
-  mLink.OnQuarantine(
-    [this](const quarantine_message& aMessage, const endpoint& aFrom) { Take(aMessage, aFrom); });
+  mLink.SetQuarantineHandler([this](const quarantine_message& aMessage, const endpoint& aFrom) {
+    HandleMessage(aMessage, aFrom);
+  });
 }
 
 void
@@ -26,11 +27,11 @@
 {
   const instant now = mState.Now();
   mState.mCrashes.NoteCrash(aReport, now);
-  mOwn.push_back({ aReport, now, instant{ 0 } });
-  if (mOwn.size() > kMostCrashesTold) {
-    mOwn.pop_front();
+  mRecentCrashes.push_back({ aReport, now, instant{ 0 } });
+  if (mRecentCrashes.size() > kMaxCrashesResent) {
+    mRecentCrashes.pop_front();
   }
-  TellCrashes();
+  SendCrashes();
 }
 
 void
@@ -48,14 +49,14 @@
 quarantine_link::Tick()
 {
   for (;;) {
-    co_await Sleep(kQuarantineTick);
-    JudgeAndTell();
-    TellCrashes();
+    co_await Sleep(kQuarantineInterval);
+    JudgeAndBroadcast();
+    SendCrashes();
   }
 }
 
 void
-quarantine_link::JudgeAndTell()
+quarantine_link::JudgeAndBroadcast()
 {
   const std::vector<quarantine_notice> changed = mState.mCrashes.Judge(mState.Now());
   if (changed.empty()) {
@@ -64,7 +65,7 @@
   quarantine_message told;
   for (const quarantine_notice& notice : changed) {
     const bool quarantined = notice.mStanding == request_standing::eQuarantined;
-    if (told.mNotices.size() < kMostNotices) {
+    if (told.mNotices.size() < kMaxNoticesPerDatagram) {
       told.mNotices.push_back(notice);
     }
     if (!quarantined) {
@@ -81,22 +82,22 @@
   }
   run_message message;
   message.mQuarantine = std::move(told);
-  mLink.Tell(std::move(message));
+  mLink.Broadcast(std::move(message));
 }
 
 void
-quarantine_link::TellCrashes()
+quarantine_link::SendCrashes()
 {
   const instant now = mState.Now();
-  while (!mOwn.empty() && now - mOwn.front().mAt >= kCrashToldFor) {
-    mOwn.pop_front();
+  while (!mRecentCrashes.empty() && now - mRecentCrashes.front().mAt >= kCrashResendPeriod) {
+    mRecentCrashes.pop_front();
   }
   quarantine_message told;
-  for (own_crash& crash : mOwn) {
-    const bool due = crash.mToldAt == instant{ 0 } || now - crash.mToldAt >= kCrashToldEvery;
+  for (own_crash& crash : mRecentCrashes) {
+    const bool due = crash.mSentAt == instant{ 0 } || now - crash.mSentAt >= kCrashResendInterval;
     if (due) {
       told.mCrashes.push_back(crash.mReport);
-      crash.mToldAt = now;
+      crash.mSentAt = now;
     }
   }
   if (!told.mCrashes.empty()) {
@@ -111,21 +112,21 @@
 {
   for (;;) {
     mState.mCrashes.Prune(mState.Now());
-    if (const std::optional<endpoint> other = mLink.DrawOther()) {
+    if (const std::optional<endpoint> other = mLink.PickRandomPeer()) {
       run_message message;
       quarantine_message& question = message.mQuarantine.emplace();
       question.mAsksBeside = mState.mCrashes.Digest(mState.Now());
-      question.mAsksAlways = !mKnows;
-      mLink.TellOne(std::move(message), *other);
+      question.mAsksAlways = !mSynced;
+      mLink.SendTo(std::move(message), *other);
     }
     const double spread = 0.5 + mState.Draw();
-    const duration every = mKnows ? kCompareEvery : kCompareAtStart;
+    const duration every = mSynced ? kCompareInterval : kInitialCompareInterval;
     co_await Sleep(FromSeconds(ToSeconds(every) * spread));
   }
 }
 
 void
-quarantine_link::Take(const quarantine_message& aMessage, const endpoint& aFrom)
+quarantine_link::HandleMessage(const quarantine_message& aMessage, const endpoint& aFrom)
 {
   const instant now = mState.Now();
   for (const crash_report& report : aMessage.mCrashes) {
@@ -145,7 +146,7 @@
                  { "by", ToText(aFrom) } });
     }
   }
-  mKnows = mKnows || aMessage.mKnows;
+  mSynced = mSynced || aMessage.mKnows;
   if (aMessage.mAsksBeside) {
     Answer(aMessage, aFrom);
   }
@@ -161,9 +162,9 @@
   }
   run_message message;
   quarantine_message& answer = message.mQuarantine.emplace();
-  answer.mNotices = mState.mCrashes.Quarantined(now, kMostNotices);
-  answer.mKnows = mKnows;
-  mLink.TellOne(std::move(message), aFrom);
+  answer.mNotices = mState.mCrashes.Quarantined(now, kMaxNoticesPerDatagram);
+  answer.mKnows = mSynced;
+  mLink.SendTo(std::move(message), aFrom);
 }
 
 } // namespace dunehook
--- a/src/links/quarantine_link.h
+++ b/src/links/quarantine_link.h
@@ -15,19 +15,19 @@
 namespace dunehook {
 
 /** Time between comparisons with another daemon. */
-inline constexpr duration kCompareEvery = std::chrono::milliseconds(500);
+inline constexpr duration kCompareInterval = std::chrono::milliseconds(500);
 /** The same for a daemon that has just started, until another one has told it. */
-inline constexpr duration kCompareAtStart = std::chrono::milliseconds(100);
+inline constexpr duration kInitialCompareInterval = std::chrono::milliseconds(100);
 /** Time between passes over what is to be judged and told. */
-inline constexpr duration kQuarantineTick = std::chrono::milliseconds(100);
+inline constexpr duration kQuarantineInterval = std::chrono::milliseconds(100);
 /** A crash is told again each second for this long: a datagram may be lost, and those that place
  * may just be replaced. */
-inline constexpr duration kCrashToldFor = std::chrono::milliseconds(3500);
-inline constexpr duration kCrashToldEvery = std::chrono::milliseconds(1000);
+inline constexpr duration kCrashResendPeriod = std::chrono::milliseconds(3500);
+inline constexpr duration kCrashResendInterval = std::chrono::milliseconds(1000);
 /** Most notices in one datagram. */
-inline constexpr std::size_t kMostNotices = 64;
+inline constexpr std::size_t kMaxNoticesPerDatagram = 64;
 /** Most own crashes that are told again. */
-inline constexpr std::size_t kMostCrashesTold = 64;
+inline constexpr std::size_t kMaxCrashesResent = 64;
 
 /** The link. */
 class quarantine_link
@@ -42,9 +42,9 @@
   /** Notes that a request was served whole. */
   void NoteServed(request_fingerprint aRequest);
   /** @return whether what the others knew at this daemon's start is known. */
-  bool Knows() const { return mKnows; }
+  bool IsSynced() const { return mSynced; }
   /** Notes that it is. */
-  void NoteKnows() { mKnows = true; }
+  void MarkSynced() { mSynced = true; }
   /** @param aAction called with each request that this daemon has put into quarantine. */
   void OnQuarantined(std::function<void(request_fingerprint)> aAction)
   {
@@ -57,24 +57,24 @@
   {
     crash_report mReport; ///< The crash.
     instant mAt{ 0 };     ///< When.
-    instant mToldAt{ 0 }; ///< When it was last told.
+    instant mSentAt{ 0 }; ///< When it was last told.
   };
 
   asio::awaitable<void> Tick();
   asio::awaitable<void> Compare();
   /** Judges what is due, and tells what has changed. */
-  void JudgeAndTell();
+  void JudgeAndBroadcast();
   /** Tells crashes of this daemon that are to be told again. */
-  void TellCrashes();
-  void Take(const quarantine_message& aMessage, const endpoint& aFrom);
+  void SendCrashes();
+  void HandleMessage(const quarantine_message& aMessage, const endpoint& aFrom);
   /** Answers a daemon that compares. */
   void Answer(const quarantine_message& aMessage, const endpoint& aFrom);
 
   forward_state& mState;                                   ///< Shared.
   daemon_link& mLink;                                      ///< The other daemons.
-  std::deque<own_crash> mOwn;                              ///< Told again, oldest first.
+  std::deque<own_crash> mRecentCrashes;                    ///< Told again, oldest first.
   std::function<void(request_fingerprint)> mOnQuarantined; ///< May be empty.
-  bool mKnows = false;                                     ///< See Knows().
+  bool mSynced = false;                                    ///< See IsSynced().
 };
 
 } // namespace dunehook
--- a/src/links/quarantine_store.h
+++ b/src/links/quarantine_store.h
@@ -11,13 +11,13 @@
 namespace dunehook {
 
 /** A daemon that starts waits so long for an answer of another one before it reads the store. */
-inline constexpr duration kAsksOthersFor = std::chrono::milliseconds(1000);
+inline constexpr duration kPeerSyncWait = std::chrono::milliseconds(1000);
 /** Daemons that start together read the store spread over this. */
-inline constexpr duration kReadSpread = std::chrono::milliseconds(500);
+inline constexpr duration kMaxReadJitter = std::chrono::milliseconds(500);
 /** Rest after a call to the store that failed. */
-inline constexpr duration kStoreCallRest = std::chrono::milliseconds(700);
+inline constexpr duration kStoreRetryDelay = std::chrono::milliseconds(700);
 /** Quarantines that wait to be written, at most. */
-inline constexpr std::size_t kMostUnwritten = 64;
+inline constexpr std::size_t kMaxUnwritten = 64;
 
 /** The part of quarantines that goes through the store. */
 template<control_store Store>
@@ -28,16 +28,16 @@
     : mState(aState)
     , mStore(aStore)
     , mLink(aState, aLink)
-    , mWork(aState.mIo)
+    , mWritePending(aState.mIo)
   {
-    mLink.OnQuarantined([this](request_fingerprint aRequest) { Keep(aRequest); });
+    mLink.OnQuarantined([this](request_fingerprint aRequest) { QueueWrite(aRequest); });
   }
 
   void Start()
   {
     mLink.Start();
-    SpawnGuarded(mState.mIo, Read());
-    SpawnGuarded(mState.mIo, Write());
+    SpawnGuarded(mState.mIo, LoadRecords());
+    SpawnGuarded(mState.mIo, WriteRecords());
   }
 
   quarantine_link& Link() { return mLink; }
@@ -51,29 +51,29 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(since).count());
   }
 
-  void Keep(request_fingerprint aRequest)
+  void QueueWrite(request_fingerprint aRequest)
   {
-    if (mUnwritten.size() < kMostUnwritten) {
+    if (mUnwritten.size() < kMaxUnwritten) {
       mUnwritten.push_back({ aRequest, WallMs() });
-      mWork.Notify();
+      mWritePending.Notify();
     }
   }
 
   /** Learns what was in quarantine before this daemon's start. */
-  asio::awaitable<void> Read()
+  asio::awaitable<void> LoadRecords()
   {
-    co_await Sleep(kAsksOthersFor + FromSeconds(ToSeconds(kReadSpread) * mState.Draw()));
-    while (!mLink.Knows()) {
+    co_await Sleep(kPeerSyncWait + FromSeconds(ToSeconds(kMaxReadJitter) * mState.Draw()));
+    while (!mLink.IsSynced()) {
       const result<std::vector<quarantine_record>> read = co_await mStore.ReadQuarantines();
       if (read) {
-        TakeRead(read.value());
+        ApplyRecords(read.value());
         co_return;
       }
-      co_await Sleep(kStoreCallRest);
+      co_await Sleep(kStoreRetryDelay);
     }
   }
 
-  void TakeRead(const std::vector<quarantine_record>& aRecords)
+  void ApplyRecords(const std::vector<quarantine_record>& aRecords)
   {
     const std::uint64_t now = WallMs();
     std::size_t taken = 0;
@@ -83,47 +83,47 @@
       notice.mAge = std::chrono::milliseconds(age);
       taken += mState.mCrashes.Take(notice, mState.Now()) ? 1 : 0;
       if (notice.mAge >= kQuarantineTime) {
-        mPassed.push_back(record.mRequest);
+        mExpired.push_back(record.mRequest);
       }
     }
     LogEvent(log_level::eInfo,
              "quarantines_read",
              { { "records", aRecords.size() }, { "in_quarantine", taken } });
-    mLink.NoteKnows();
+    mLink.MarkSynced();
   }
 
   /** Writes what this daemon has put into quarantine, and takes out what has passed. */
-  asio::awaitable<void> Write()
+  asio::awaitable<void> WriteRecords()
   {
     for (;;) {
       if (mUnwritten.empty()) {
-        co_await mWork.Wait(kQuarantineTime);
+        co_await mWritePending.Wait(kQuarantineTime);
         continue;
       }
       const quarantine_record record = mUnwritten.front();
       const result<void> written = co_await mStore.WriteQuarantine(record);
       if (!written) { // It may have been written: once more does no harm.
-        co_await Sleep(kStoreCallRest);
+        co_await Sleep(kStoreRetryDelay);
         continue;
       }
       mUnwritten.pop_front();
-      while (!mPassed.empty()) {
-        const request_fingerprint passed = mPassed.back();
-        mPassed.pop_back();
+      while (!mExpired.empty()) {
+        const request_fingerprint passed = mExpired.back();
+        mExpired.pop_back();
         const result<void> removed = co_await mStore.RemoveQuarantine(passed);
         if (!removed) {
-          mPassed.clear(); // Whoever starts next finds them again.
+          mExpired.clear(); // Whoever starts next finds them again.
         }
       }
     }
   }
 
-  forward_state& mState;                    ///< Shared.
-  Store& mStore;                            ///< Keeps the records.
-  quarantine_link mLink;                    ///< The other daemons.
-  wake_list mWork;                          ///< Woken when there's something to write.
-  std::deque<quarantine_record> mUnwritten; ///< Put into quarantine here; at most kMostUnwritten.
-  std::vector<request_fingerprint> mPassed; ///< Records whose time was over at the start.
+  forward_state& mState;                     ///< Shared.
+  Store& mStore;                             ///< Keeps the records.
+  quarantine_link mLink;                     ///< The other daemons.
+  wake_list mWritePending;                   ///< Woken when there's something to write.
+  std::deque<quarantine_record> mUnwritten;  ///< Put into quarantine here; at most kMaxUnwritten.
+  std::vector<request_fingerprint> mExpired; ///< Records whose time was over at the start.
 };
 
 } // namespace dunehook
--- a/src/links/store_follower.h
+++ b/src/links/store_follower.h
@@ -9,7 +9,7 @@
 namespace dunehook {
 
 /** Time between reads of the runners; half of what a leaving runner is served on for, and less. */
-inline constexpr duration kRunnersEvery = std::chrono::milliseconds(900);
+inline constexpr duration kRunnerReadInterval = std::chrono::milliseconds(900);
 
 /** The follower. */
 template<control_store Store>
@@ -42,7 +42,7 @@
   void Tick()
   {
     mContact.Tick();
-    mConfig.EndLateWait();
+    mConfig.CancelOverdueLongPoll();
   }
 
 private:
@@ -51,78 +51,78 @@
     for (;;) {
       bool failed = false;
       try {
-        co_await FollowRunnersOnce();
+        co_await FollowRunnersStep();
       } catch (const std::exception& error) {
         LogEvent(log_level::eError, "runner_reading_failed", { { "what", error.what() } });
         failed = true;
       }
       if (failed) {
-        co_await Sleep(kLongestStoreRest);
+        co_await Sleep(kMaxStoreBackoff);
       }
     }
   }
 
   /** Reads what changed of the runners, or leaves it to those that read for this daemon. */
-  asio::awaitable<void> FollowRunnersOnce()
+  asio::awaitable<void> FollowRunnersStep()
   {
-    if (!mContact.ReadsRunners()) {
+    if (!mContact.MustReadRunners()) {
       mState.mListedAt = mState.mToldStoreAt;
-      co_await Sleep(kLookAtTold);
+      co_await Sleep(kReportCheckInterval);
       co_return;
     }
     const result<runner_listing> listing = co_await mStore.ReadRunners();
     mContact.NoteAnswer(listing.has_value(), "runners");
     if (!listing) {
-      mContact.NoteNoRunners();
-      co_await RestAfterFailure(listing.error());
+      mContact.NoteRunnerReadFailed();
+      co_await BackOffAfterFailure(listing.error());
       co_return;
     }
-    if (mContact.RunnersFail()) {
-      mRest = kFirstStoreRest;
-      mConfig.EndCall(); // It may have been begun while the store was away: its answer is lost.
+    if (mContact.RunnerReadFailed()) {
+      mBackoff = kInitialStoreBackoff;
+      mConfig.CancelCall(); // It may have been begun while the store was away: its answer is lost.
     }
     if (mState.NoteEra(listing.value().mEnd.mEra)) {
-      mContact.NoteWentBack();
-      mConfig.EndWait(); // It waits at an offset that is given out again.
+      mContact.NoteStoreRolledBack();
+      mConfig.CancelLongPoll(); // It waits at an offset that is given out again.
     }
     // Not before the read: what another daemon has told meanwhile isn't among what this one
     // changes.
     const store_mark from = mState.mRunners.End();
     const std::vector<service_runner_id> changed =
-      mState.mRunners.Apply(listing.value(), mState.Now(), mContact.WasAway());
+      mState.mRunners.Apply(listing.value(), mState.Now(), mContact.WasRecentlyAway());
     mState.NoteRunnersChanged(changed);
     mContact.NoteRunners(from, changed);
-    mContact.TellPosition();
+    mContact.BroadcastPosition();
     if (mContact.Known()) {
-      mRest = kFirstStoreRest;
-      co_await Sleep(mContact.Asks() ? kRunnersEvery : kLookAtTold);
+      mBackoff = kInitialStoreBackoff;
+      co_await Sleep(mContact.IsReader() ? kRunnerReadInterval : kReportCheckInterval);
       co_return;
     }
     // The first entries, or the first configuration, are still to be written.
-    co_await Sleep(kLongestStoreRest);
+    co_await Sleep(kMaxStoreBackoff);
   }
 
   /** Leaves the store alone for a moment, which gets longer until there's something to follow. */
-  asio::awaitable<void> Rest()
+  asio::awaitable<void> BackOff()
   {
-    const duration rest = mRest;
-    mRest = std::min(mRest * 2, kLongestStoreRest);
+    const duration rest = mBackoff;
+    mBackoff = std::min(mBackoff * 2, kMaxStoreBackoff);
     co_await Sleep(rest);
   }
 
-  asio::awaitable<void> RestAfterFailure(std::error_code aError)
+  asio::awaitable<void> BackOffAfterFailure(std::error_code aError)
   {
     if (aError == errc::eDeadlinePassed || aError == errc::eConnectionLost) {
-      mConfig.EndWait(); // Its connection may have fallen silent as well.
+      mConfig.CancelLongPoll(); // Its connection may have fallen silent as well.
     }
-    co_await Rest();
+    co_await BackOff();
   }
 
-  forward_state& mState;            ///< Shared.
-  Store& mStore;                    ///< The store.
-  store_contact mContact;           ///< What is known of the store.
-  config_follower<Store> mConfig;   ///< Follows the configuration.
-  duration mRest = kFirstStoreRest; ///< After the next failed read of the runners.
+  forward_state& mState;                    ///< Shared.
+  Store& mStore;                            ///< The store.
+  store_contact mContact;                   ///< What is known of the store.
+  config_follower<Store> mConfig;           ///< Follows the configuration.
+  duration mBackoff = kInitialStoreBackoff; ///< After the next failed read of the runners.
 };
 
 } // namespace dunehook
--- a/tests/platform/many_test.cpp
+++ b/tests/platform/many_test.cpp
@@ -34,7 +34,7 @@
  * docs/incidents/iskedyul-2.md: three seconds after the acknowledgement. */
 constexpr int kInForceMs = 3000;
 /** Time after which a leaving runner is sent nothing, from the store's answer; ms. The daemons aim
- * at half of it: kRunnersEvery in src/links/store_follower.h. */
+ * at half of it: kRunnerReadInterval in src/links/store_follower.h. */
 constexpr int kLeftMs = 2000;
 /** Time that a reset of all connections excuses, after which the above must hold: both together,
  * for connections that fell silent; ms. A silence counts as a reset. */
@@ -63,7 +63,7 @@
 /** Until every daemon has heard all others; ms. */
 constexpr int kAllHeardMs = 15000;
 /** Until daemons leave the store to another: the wait that they have begun is over after 3 s, see
- * kConfigWait and kToldFor in src/links/store_follower.h; ms. */
+ * kConfigLongPollTime and kReportLifetime in src/links/store_follower.h; ms. */
 constexpr int kUntilTold = 4000;
 /** Time for callers to begin, and for a fault to be felt, before what is tested; ms. */
 constexpr int kSettleMs = 1000;
--- a/tests/unit/quarantine_link_test.cpp
+++ b/tests/unit/quarantine_link_test.cpp
@@ -38,7 +38,7 @@
     , mLink(mState)
     , mQuarantines(mState, mLink)
   {
-    mState.mTell = [this](run_message aMessage) { mLink.Tell(std::move(aMessage)); };
+    mState.mTell = [this](run_message aMessage) { mLink.Broadcast(std::move(aMessage)); };
     mState.mTellPlacers = mState.mTell;
     CHECK_TRUE(mLink.Open().has_value());
     mLink.Start([] { return true; });
@@ -169,7 +169,7 @@
       if (reached) {
         daemons[i].Take(told, began);
       }
-      compares.push_back(began + FromSeconds(ToSeconds(kCompareEvery) * 1.5 * draw()));
+      compares.push_back(began + FromSeconds(ToSeconds(kCompareInterval) * 1.5 * draw()));
     }
     // All are in contact from here on. Each compares with one other, drawn from all.
     for (instant now = began; now < began + kContact; now += milliseconds(10)) {
@@ -177,11 +177,12 @@
         if (now < compares[i]) {
           continue;
         }
-        compares[i] = now + FromSeconds(ToSeconds(kCompareEvery) * (0.5 + draw()));
+        compares[i] = now + FromSeconds(ToSeconds(kCompareInterval) * (0.5 + draw()));
         const auto other = static_cast<std::size_t>(draw() * kDaemons);
         const bool arrives = draw() >= kLost && draw() >= kLost;
         if (arrives && daemons[i].Digest(now) != daemons[other].Digest(now)) {
-          for (const quarantine_notice& notice : daemons[other].Quarantined(now, kMostNotices)) {
+          for (const quarantine_notice& notice :
+               daemons[other].Quarantined(now, kMaxNoticesPerDatagram)) {
             daemons[i].Take(notice, now);
           }
         }
--- a/tests/unit/store_contact_test.cpp
+++ b/tests/unit/store_contact_test.cpp
@@ -89,8 +89,8 @@
   node other(mIo, 2);
   Meet(reader, other);
   other.mState.mToldStoreAt = other.mState.Now();
-  CHECK_TRUE(reader.mContact.Asks());
-  CHECK_FALSE(other.mContact.Asks());
+  CHECK_TRUE(reader.mContact.IsReader());
+  CHECK_FALSE(other.mContact.IsReader());
 }
 
 // Daemons that take over in several halls at once tell each other how far the store is.
@@ -99,14 +99,14 @@
   node reader(mIo, 1);
   node other(mIo, 2);
   Meet(reader, other);
-  test::SuspendFor(kToldFor + kAskerStep * 2);
-  CHECK_TRUE(other.mContact.Asks()); // Nobody has told it for so long.
-  CHECK_TRUE(other.mContact.ReadsRunners());
+  test::SuspendFor(kReportLifetime + kTakeOverStep * 2);
+  CHECK_TRUE(other.mContact.IsReader()); // Nobody has told it for so long.
+  CHECK_TRUE(other.mContact.MustReadRunners());
   other.mState.mToldStoreAt = other.mState.Now();
-  CHECK_TRUE(other.mContact.Asks());
-  test::SuspendFor(kReadsOnFor);
+  CHECK_TRUE(other.mContact.IsReader());
+  test::SuspendFor(kTakeOverPeriod);
   other.mState.mToldStoreAt = other.mState.Now();
-  CHECK_FALSE(other.mContact.Asks());
+  CHECK_FALSE(other.mContact.IsReader());
 }
 
 TEST(store_contact, WhoHasTakenOverAndIsTurnedAwayLeavesTheStoreToOthers)
@@ -114,9 +114,9 @@
   node reader(mIo, 1);
   node other(mIo, 2);
   Meet(reader, other);
-  test::SuspendFor(kToldFor + kAskerStep * 2);
-  CHECK_TRUE(other.mContact.ReadsRunners());
-  other.mContact.NoteNoRunners();
+  test::SuspendFor(kReportLifetime + kTakeOverStep * 2);
+  CHECK_TRUE(other.mContact.MustReadRunners());
+  other.mContact.NoteRunnerReadFailed();
   other.mState.mToldStoreAt = other.mState.Now();
-  CHECK_FALSE(other.mContact.Asks());
+  CHECK_FALSE(other.mContact.IsReader());
 }
