--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -88,7 +88,7 @@
     duration worst{ 0 };
     for (const auto& table : mTables) {
       for (const auto& [incarnation, entry] : table->Others()) {
-        worst = std::max(worst, mNow - entry.mHeard);
+        worst = std::max(worst, mNow - entry.mLastHeardAt);
       }
     }
     return ToSeconds(worst) * 1000.0;
--- a/scripts/check_mutants.sh
+++ b/scripts/check_mutants.sh
@@ -25,7 +25,7 @@
 switch_off src/callers/service_call.cpp 'if (age > kClaimWindowMs) {' 'if (false) {'
 switch_off src/decide/engine_base.h 'return !mInfo.mLeaving && aNow >= mAvoidUntil;' 'return aNow >= mAvoidUntil;'
 switch_off src/daemon/router.cpp 'while (mFront.mCallsUnderWay > 0 && Now() < deadline) {' 'while (false) {'
-switch_off src/control/log_follower.cpp 'if (mMembers.HighestNext() <= before) {' 'if (true) {'
+switch_off src/control/log_follower.cpp 'if (mMembers.HighestNextOffset() <= before) {' 'if (true) {'
 switch_off src/control/log_follower.cpp 'if (!due() || !mLogReachable) {' 'if (true) {'
 switch_off src/resources/fold.cpp 'if (version != aExpected) {' 'if (false) {'
 
--- a/src/control/log_follower.cpp
+++ b/src/control/log_follower.cpp
@@ -198,7 +198,7 @@
 void
 log_follower::NoteProgress()
 {
-  const bool reachedPeers = mFold.Next() >= mMembers.HighestNext();
+  const bool reachedPeers = mFold.Next() >= mMembers.HighestNextOffset();
   const bool knowsEnd =
     mLogHeadReached || (!mLogReachable && !mMembers.Others().empty() && mFold.Next() > 1);
   mCaughtUp = mCaughtUp || (reachedPeers && knowsEnd);
@@ -211,7 +211,7 @@
   for (;;) {
     co_await Sleep(kRelayPause);
     const std::uint64_t before = mFold.Next();
-    if (mMembers.HighestNext() <= before) {
+    if (mMembers.HighestNextOffset() <= before) {
       rest = kRelayPause;
       continue;
     }
@@ -222,7 +222,8 @@
     }
     const member_info* ahead = nullptr;
     for (const auto& [incarnation, entry] : mMembers.Others()) {
-      if (entry.mInfo.mNext > before && (ahead == nullptr || entry.mInfo.mNext > ahead->mNext)) {
+      if (entry.mInfo.mNextOffset > before &&
+          (ahead == nullptr || entry.mInfo.mNextOffset > ahead->mNextOffset)) {
         ahead = &entry.mInfo;
       }
     }
--- a/src/control/peer_directory.cpp
+++ b/src/control/peer_directory.cpp
@@ -48,7 +48,7 @@
   result<nlohmann::json> answer =
     co_await aLink->Call(std::move(aMethod), std::move(aMessage), aLimit);
   if (!answer && answer.error() != errc::eBadRequest) {
-    mMembers.Suspect(aMember, boot_clock_source().Now());
+    mMembers.MarkUnreachable(aMember, boot_clock_source().Now());
   }
   co_return answer;
 }
--- a/src/daemon/operator_api.cpp
+++ b/src/daemon/operator_api.cpp
@@ -83,7 +83,7 @@
            { "version", aResource.mVersion },
            { "spec", SpecToJson(aResource.mSpec) },
            { "status",
-             { { "in_force_at", mMembers.CountInForce(aResource.mVersion) },
+             { { "in_force_at", mMembers.CountHavingApplied(aResource.mVersion) },
                { "daemons", daemons } } } };
 }
 
@@ -252,7 +252,7 @@
     daemons.push_back({ { "name", aInfo.mName },
                         { "hall", aInfo.mHall },
                         { "incarnation", ToText(aInfo.mIncarnation) },
-                        { "next_offset", aInfo.mNext },
+                        { "next_offset", aInfo.mNextOffset },
                         { "serving", aInfo.mServing } });
   };
   add(mMembers.Self());
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -211,7 +211,7 @@
       const udp::endpoint target(asio::ip::make_address(to.mAddress, ignored), to.mPort);
       mDatagrams.send_to(asio::buffer(beat.mData), target, 0, ignored);
     }
-    TakeChanges(mMembers.Sweep(Now()));
+    TakeChanges(mMembers.DropSilent(Now()));
     TickLogging();
     co_await Sleep(mSettings.mHeartbeat);
   }
--- a/src/forward/gateway.h
+++ b/src/forward/gateway.h
@@ -320,7 +320,7 @@
       peers.mFirst = true;
       for (const auto& [id, member] : mLink.Members().Others()) {
         peers.mAlive.push_back(member.mInfo.mName);
-        if (member.mInfo.mServing && GoesBefore(member.mInfo, mLink.Members().Self())) {
+        if (member.mInfo.mServing && RanksBefore(member.mInfo, mLink.Members().Self())) {
           peers.mFirst = false;
         }
       }
--- a/src/links/config_follower.h
+++ b/src/links/config_follower.h
@@ -137,7 +137,8 @@
   /** Asks a daemon of the hall that reads the store for others. @param aRank which of them. */
   asio::awaitable<void> AskPeer(std::size_t aRank)
   {
-    const std::vector<const member_info*> ranked = mLink.Members().Ranked(mState.mSettings.mHall);
+    const std::vector<const member_info*> ranked =
+      mLink.Members().RankedServing(mState.mSettings.mHall);
     if (aRank >= ranked.size() || ranked[aRank] == &mLink.Members().Self()) {
       co_return;
     }
--- a/src/links/daemon_link.cpp
+++ b/src/links/daemon_link.cpp
@@ -138,7 +138,7 @@
 void
 daemon_link::DropSilent(instant aNow)
 {
-  for (const member_info& gone : mMembers.Sweep(aNow).mGone) {
+  for (const member_info& gone : mMembers.DropSilent(aNow).mGone) {
     LogEvent(log_level::eInfo, "daemon_silent", { { "daemon", gone.mName } });
     mState.mPlacement.ReplaceRuns(gone.mIncarnation.mValue, {}, aNow);
   }
@@ -166,8 +166,8 @@
   if (now - mFirstHeartbeatAt > kMemberRequestPeriod) {
     return;
   }
-  if (const std::optional<endpoint> asked = mMembers.DrawAsked()) {
-    SendUdp(mHeartbeatSocket, mMembers.BuildQuestion(), *asked);
+  if (const std::optional<endpoint> asked = mMembers.PickMemberToAsk()) {
+    SendUdp(mHeartbeatSocket, mMembers.BuildMemberRequest(), *asked);
   }
 }
 
@@ -181,11 +181,11 @@
   for (const member_info& gone : changes.mGone) {
     mState.mPlacement.ReplaceRuns(gone.mIncarnation.mValue, {}, aNow);
   }
-  if (!changes.mAsked) {
+  if (!changes.mRequestFrom) {
     return;
   }
-  for (const std::string& answer : mMembers.BuildAnswers()) {
-    SendUdp(mHeartbeatSocket, answer, *changes.mAsked);
+  for (const std::string& answer : mMembers.BuildMemberList()) {
+    SendUdp(mHeartbeatSocket, answer, *changes.mRequestFrom);
   }
 }
 
--- a/src/links/placer_link.cpp
+++ b/src/links/placer_link.cpp
@@ -64,7 +64,7 @@
     mWarmUpUntil = now + kPlacerWarmUp;
   }
   mPlacers.clear();
-  const std::vector<const member_info*> ranked = mLink.Members().Ranked();
+  const std::vector<const member_info*> ranked = mLink.Members().RankedServing();
   for (const member_info* const member : ranked) {
     const bool self = member == &mLink.Members().Self();
     const placer one{ member->mIncarnation,
--- a/src/links/placer_link.h
+++ b/src/links/placer_link.h
@@ -1,7 +1,7 @@
 /**
  * @file placer_link.h
  * Asks the daemon that places generations for all, and answers where this daemon is the one. The
- * first two daemons by GoesBefore() are told of every run; the first one that answers is asked. A
+ * first two daemons by RanksBefore() are told of every run; the first one that answers is asked. A
  * daemon that hears nothing in time asks the other, and then decides by itself.
  */
 #pragma once
--- a/src/links/store_contact.h
+++ b/src/links/store_contact.h
@@ -76,7 +76,7 @@
   /** @return the newest version that any daemon has told of. */
   std::uint64_t NewestReportedConfig() const
   {
-    return std::max(mState.mToldStore.mConfig, mLink.Members().HighestNext());
+    return std::max(mState.mToldStore.mConfig, mLink.Members().HighestNextOffset());
   }
   /** @return whether another daemon has a newer configuration than this one. */
   bool IsBehind() const
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -18,14 +18,14 @@
 using json = nlohmann::json;
 
 constexpr std::size_t kSignatureBytes = 8;
-constexpr std::size_t kEntryBytes = 56; ///< About the size of one member in a datagram.
-constexpr std::size_t kUdpHeader = 28;  ///< IP and UDP headers of a datagram.
-/** Others for each further multiple of the silence limit; see AllowedSilence(). */
-constexpr double kSilenceSpread = 4.0;
-constexpr std::size_t kMaxDatagram = 1400; ///< Fits one frame.
+constexpr std::size_t kEntryBytes = 56;     ///< About the size of one member in a datagram.
+constexpr std::size_t kUdpHeaderBytes = 28; ///< IP and UDP headers of a datagram.
+/** Others for each further multiple of the silence limit; see SilenceTimeout(). */
+constexpr double kMembersPerExtraTimeout = 4.0;
+constexpr std::size_t kMaxDatagramBytes = 1400; ///< Fits one frame.
 /** Members in a datagram that tells of all: with names of 25 characters they fit one frame. */
-constexpr std::size_t kMembersOfOne = 16;
-constexpr std::size_t kSmallGroup = 8; ///< Others up to which a heartbeat goes to all.
+constexpr std::size_t kMembersPerDatagram = 16;
+constexpr std::size_t kMaxDirectReceivers = 8; ///< Others up to which a heartbeat goes to all.
 
 json
 Encode(const member_info& aInfo)
@@ -35,8 +35,8 @@
                        aInfo.mHall,
                        aInfo.mAddress.mAddress,
                        aInfo.mAddress.mPort,
-                       aInfo.mBeat,
-                       aInfo.mNext,
+                       aInfo.mHeartbeatCount,
+                       aInfo.mNextOffset,
                        aInfo.mServing,
                        aInfo.mWeight });
 }
@@ -50,8 +50,8 @@
   info.mHall = aJson.at(2).get<std::string>();
   info.mAddress.mAddress = aJson.at(3).get<std::string>();
   info.mAddress.mPort = aJson.at(4).get<std::uint16_t>();
-  info.mBeat = aJson.at(5).get<std::uint64_t>();
-  info.mNext = aJson.at(6).get<std::uint64_t>();
+  info.mHeartbeatCount = aJson.at(5).get<std::uint64_t>();
+  info.mNextOffset = aJson.at(6).get<std::uint64_t>();
   info.mServing = aJson.at(7).get<bool>();
   info.mWeight = aJson.at(8).get<std::uint32_t>();
   return info;
@@ -75,7 +75,7 @@
 void
 member_table::SetSelf(std::uint64_t aNext, bool aServing)
 {
-  mSelf.mNext = std::max(mSelf.mNext, aNext);
+  mSelf.mNextOffset = std::max(mSelf.mNextOffset, aNext);
   mSelf.mServing = aServing;
 }
 
@@ -89,7 +89,7 @@
 }
 
 std::vector<member_entry*>
-member_table::LeastTold(std::size_t aCount)
+member_table::LeastRecentlySent(std::size_t aCount)
 {
   std::vector<member_entry*> entries;
   for (auto& [incarnation, entry] : mOthers) {
@@ -97,9 +97,9 @@
   }
   // Entries with news since they were last told first; of those the ones told least recently.
   std::stable_sort(entries.begin(), entries.end(), [](const auto* aOne, const auto* aTwo) {
-    const bool oneOld = aOne->mTold > aOne->mHeard;
-    const bool twoOld = aTwo->mTold > aTwo->mHeard;
-    return std::tie(oneOld, aOne->mTold) < std::tie(twoOld, aTwo->mTold);
+    const bool oneOld = aOne->mLastSentAt > aOne->mLastHeardAt;
+    const bool twoOld = aTwo->mLastSentAt > aTwo->mLastHeardAt;
+    return std::tie(oneOld, aOne->mLastSentAt) < std::tie(twoOld, aTwo->mLastSentAt);
   });
   entries.resize(std::min(entries.size(), aCount));
   return entries;
@@ -115,19 +115,19 @@
 }
 
 std::string
-member_table::BuildQuestion() const
+member_table::BuildMemberRequest() const
 {
   return Pack(json::array({ Encode(mSelf), true }));
 }
 
 std::vector<std::string>
-member_table::BuildAnswers() const
+member_table::BuildMemberList() const
 {
   std::vector<std::string> answers;
   json members = json::array({ Encode(mSelf) });
   for (const auto& [incarnation, entry] : mOthers) {
     members.push_back(Encode(entry.mInfo));
-    if (members.size() >= kMembersOfOne) {
+    if (members.size() >= kMembersPerDatagram) {
       answers.push_back(Pack(members));
       members = json::array();
     }
@@ -139,7 +139,7 @@
 }
 
 std::optional<endpoint>
-member_table::DrawAsked()
+member_table::PickMemberToAsk()
 {
   std::vector<endpoint> near;
   std::vector<endpoint> far = mSeeds;
@@ -157,7 +157,7 @@
 heartbeat
 member_table::BuildHeartbeat(instant aNow)
 {
-  ++mSelf.mBeat;
+  ++mSelf.mHeartbeatCount;
   heartbeat beat;
   for (const auto& [incarnation, entry] : mOthers) {
     beat.mTo.push_back(entry.mInfo.mAddress);
@@ -165,16 +165,16 @@
   std::shuffle(beat.mTo.begin(), beat.mTo.end(), mRandom);
   // A small group hears every daemon at first hand; a large one by way of others.
   const std::size_t receivers =
-    beat.mTo.size() <= kSmallGroup ? beat.mTo.size() : mSettings.mFanout;
+    beat.mTo.size() <= kMaxDirectReceivers ? beat.mTo.size() : mSettings.mFanout;
   beat.mTo.resize(receivers);
   const double bytes = mSettings.mBytesPerSecond * ToSeconds(mSettings.mHeartbeat) /
                        static_cast<double>(std::max<std::size_t>(1, receivers));
-  const std::size_t size = std::min(kMaxDatagram, static_cast<std::size_t>(bytes));
-  const std::size_t overhead = kUdpHeader + kSignatureBytes + kEntryBytes;
+  const std::size_t size = std::min(kMaxDatagramBytes, static_cast<std::size_t>(bytes));
+  const std::size_t overhead = kUdpHeaderBytes + kSignatureBytes + kEntryBytes;
   const std::size_t room = size > overhead ? (size - overhead) / kEntryBytes : 0;
   json members = json::array({ Encode(mSelf) });
-  for (member_entry* const entry : LeastTold(std::max<std::size_t>(1, room))) {
-    entry->mTold = aNow;
+  for (member_entry* const entry : LeastRecentlySent(std::max<std::size_t>(1, room))) {
+    entry->mLastSentAt = aNow;
     members.push_back(Encode(entry->mInfo));
   }
   beat.mData = Pack(members);
@@ -185,24 +185,24 @@
 bool
 member_table::Update(const member_info& aInfo, instant aNow, member_changes& aChanges)
 {
-  if (aInfo.mIncarnation == mSelf.mIncarnation || mGone.contains(aInfo.mIncarnation)) {
+  if (aInfo.mIncarnation == mSelf.mIncarnation || mEndedRuns.contains(aInfo.mIncarnation)) {
     return false;
   }
-  const auto silent = mSilent.find(aInfo.mIncarnation);
-  if (silent != mSilent.end()) {
-    if (aInfo.mBeat <= silent->second) {
+  const auto silent = mSilentRuns.find(aInfo.mIncarnation);
+  if (silent != mSilentRuns.end()) {
+    if (aInfo.mHeartbeatCount <= silent->second) {
       return false;
     }
-    mSilent.erase(silent);
+    mSilentRuns.erase(silent);
   }
   const auto [row, fresh] = mOthers.try_emplace(aInfo.mIncarnation);
   member_entry& entry = row->second;
-  if (!fresh && aInfo.mBeat <= entry.mInfo.mBeat) {
+  if (!fresh && aInfo.mHeartbeatCount <= entry.mInfo.mHeartbeatCount) {
     return false;
   }
   entry.mInfo = aInfo;
-  entry.mHeard = aNow;
-  entry.mSuspected = instant{ 0 };
+  entry.mLastHeardAt = aNow;
+  entry.mUnreachableSince = instant{ 0 };
   if (fresh) {
     aChanges.mJoined.push_back(aInfo);
     std::erase(mSeeds, aInfo.mAddress);
@@ -228,7 +228,7 @@
   try {
     for (const json& member : members) {
       if (member.is_boolean()) {
-        changes.mAsked = Decode(members.at(0)).mAddress;
+        changes.mRequestFrom = Decode(members.at(0)).mAddress;
         continue;
       }
       const member_info info = Decode(member);
@@ -246,60 +246,61 @@
     return changes;
   }
   for (const member_info& gone : changes.mGone) {
-    Bury(gone.mIncarnation);
+    RememberEnded(gone.mIncarnation);
   }
   return changes;
 }
 
 void
-member_table::Bury(incarnation_id aIncarnation)
+member_table::RememberEnded(incarnation_id aIncarnation)
 {
   mOthers.erase(aIncarnation);
-  mGone[aIncarnation] = ++mGoneCount;
-  if (mGone.size() > kMaxGone) {
-    mGone.erase(
-      std::min_element(mGone.begin(), mGone.end(), [](const auto& aOne, const auto& aTwo) {
+  mEndedRuns[aIncarnation] = ++mEndedCount;
+  if (mEndedRuns.size() > kMaxEndedRuns) {
+    mEndedRuns.erase(std::min_element(
+      mEndedRuns.begin(), mEndedRuns.end(), [](const auto& aOne, const auto& aTwo) {
         return aOne.second < aTwo.second;
       }));
   }
 }
 
 duration
-member_table::AllowedSilence() const
+member_table::SilenceTimeout() const
 {
-  if (mOthers.size() <= kSmallGroup) {
+  if (mOthers.size() <= kMaxDirectReceivers) {
     return mSettings.mFailAfter;
   }
-  const double further = static_cast<double>(mOthers.size() - kSmallGroup) / kSilenceSpread;
+  const double further =
+    static_cast<double>(mOthers.size() - kMaxDirectReceivers) / kMembersPerExtraTimeout;
   return FromSeconds(ToSeconds(mSettings.mFailAfter) * (1.0 + further));
 }
 
 member_changes
-member_table::Sweep(instant aNow)
+member_table::DropSilent(instant aNow)
 {
   member_changes changes;
   for (const auto& [incarnation, entry] : mOthers) {
-    if (aNow - entry.mHeard > AllowedSilence()) {
+    if (aNow - entry.mLastHeardAt > SilenceTimeout()) {
       changes.mGone.push_back(entry.mInfo);
     }
   }
   for (const member_info& gone : changes.mGone) {
     // Not buried: a frozen daemon that wakes is the same run and may come back.
     mOthers.erase(gone.mIncarnation);
-    if (mSilent.size() >= kMaxGone) {
-      mSilent.erase(mSilent.begin());
+    if (mSilentRuns.size() >= kMaxEndedRuns) {
+      mSilentRuns.erase(mSilentRuns.begin());
     }
-    mSilent[gone.mIncarnation] = gone.mBeat;
+    mSilentRuns[gone.mIncarnation] = gone.mHeartbeatCount;
   }
   return changes;
 }
 
 void
-member_table::Suspect(incarnation_id aIncarnation, instant aNow)
+member_table::MarkUnreachable(incarnation_id aIncarnation, instant aNow)
 {
   const auto found = mOthers.find(aIncarnation);
   if (found != mOthers.end()) {
-    found->second.mSuspected = aNow;
+    found->second.mUnreachableSince = aNow;
   }
 }
 
--- a/src/membership/member_base.h
+++ b/src/membership/member_base.h
@@ -25,14 +25,14 @@
 /** What a daemon says of itself. */
 struct member_info
 {
-  incarnation_id mIncarnation; ///< Its run.
-  std::string mName;           ///< Its host's name.
-  std::string mHall;           ///< Its data hall.
-  endpoint mAddress;           ///< Its peer address, TCP and UDP.
-  std::uint64_t mBeat = 0;     ///< Counts its heartbeats; never goes down within a run.
-  std::uint64_t mNext = 1;     ///< Offset of the next record it will fold.
-  bool mServing = false;       ///< It takes work: caught up and not stopping.
-  std::uint32_t mWeight = 0;   ///< Thousandths of a core that it may use; 0 if it doesn't tell.
+  incarnation_id mIncarnation;       ///< Its run.
+  std::string mName;                 ///< Its host's name.
+  std::string mHall;                 ///< Its data hall.
+  endpoint mAddress;                 ///< Its peer address, TCP and UDP.
+  std::uint64_t mHeartbeatCount = 0; ///< Counts its heartbeats; never goes down within a run.
+  std::uint64_t mNextOffset = 1;     ///< Offset of the next record it will fold.
+  bool mServing = false;             ///< It takes work: caught up and not stopping.
+  std::uint32_t mWeight = 0; ///< Thousandths of a core that it may use; 0 if it doesn't tell.
 
   auto operator<=>(const member_info&) const = default;
 };
@@ -40,15 +40,17 @@
 /** @return whether @p aOne comes before @p aTwo where one daemon does something for others: those
  * with more weight first, by name where weights are alike. */
 bool
-GoesBefore(const member_info& aOne, const member_info& aTwo);
+RanksBefore(const member_info& aOne, const member_info& aTwo);
 
 /** A daemon as this one sees it. */
 struct member_entry
 {
-  member_info mInfo;       ///< Newest known.
-  instant mHeard{ 0 };     ///< When its beat last went up.
-  instant mTold{ 0 };      ///< When it was last put into a heartbeat.
-  instant mSuspected{ 0 }; ///< When a connection to it failed after mHeard; zero if not.
+  member_info mInfo;         ///< Newest known.
+  instant mLastHeardAt{ 0 }; ///< When its beat last went up.
+  instant mLastSentAt{ 0 };  ///< When it was last put into a heartbeat.
+  instant mUnreachableSince{
+    0
+  }; ///< When a connection to it failed after mLastHeardAt; zero if not.
 };
 
 /** Settings of the table. */
@@ -70,9 +72,9 @@
 /** What a received heartbeat or the passing of time changed. */
 struct member_changes
 {
-  std::vector<member_info> mJoined; ///< Runs seen for the first time.
-  std::vector<member_info> mGone;   ///< Runs that ended or fell silent.
-  std::optional<endpoint> mAsked;   ///< A daemon that wants to be told of all members.
+  std::vector<member_info> mJoined;     ///< Runs seen for the first time.
+  std::vector<member_info> mGone;       ///< Runs that ended or fell silent.
+  std::optional<endpoint> mRequestFrom; ///< A daemon that wants to be told of all members.
 };
 
 /** The daemons this one knows. */
@@ -97,23 +99,23 @@
   /** @return the next heartbeat. */
   heartbeat BuildHeartbeat(instant aNow);
   /** @return a datagram that asks its receiver for all members that it knows. */
-  std::string BuildQuestion() const;
+  std::string BuildMemberRequest() const;
   /** @return datagrams that tell of all members known, for a daemon that asked. */
-  std::vector<std::string> BuildAnswers() const;
+  std::vector<std::string> BuildMemberList() const;
   /** @return whom a daemon that has just started asks: another one, of its hall if it knows any, or
    * a seed. */
-  std::optional<endpoint> DrawAsked();
+  std::optional<endpoint> PickMemberToAsk();
   /** Takes a datagram; one that isn't signed with the common secret changes nothing. */
   member_changes Receive(std::string_view aDatagram, instant aNow);
   /** Drops members that fell silent. */
-  member_changes Sweep(instant aNow);
+  member_changes DropSilent(instant aNow);
   /**
    * @return silence after which a member is gone. In a group to which heartbeats don't go directly,
    * news takes longer: the limit grows with the group, see docs/CAPACITY.md.
    */
-  duration AllowedSilence() const;
+  duration SilenceTimeout() const;
   /** Notes that a connection to a member failed: it's passed over until it's heard again. */
-  void Suspect(incarnation_id aIncarnation, instant aNow);
+  void MarkUnreachable(incarnation_id aIncarnation, instant aNow);
 
   /** @return this daemon's own entry. */
   const member_info& Self() const { return mSelf; }
@@ -124,39 +126,39 @@
   /** @return whether a run is known to have ended or fallen silent. */
   bool IsKnownGone(incarnation_id aIncarnation) const
   {
-    return mGone.contains(aIncarnation) || mSilent.contains(aIncarnation);
+    return mEndedRuns.contains(aIncarnation) || mSilentRuns.contains(aIncarnation);
   }
   /** @return the daemon that owns a key: the serving member of the highest rank. */
   const member_info& OwnerOf(std::string_view aKey) const;
   /** @return how many members, this one included, take work; at least 1. */
   std::size_t CountServing() const;
-  /** @return serving members that aren't suspected, this one included, as GoesBefore() puts them.
+  /** @return serving members that aren't suspected, this one included, as RanksBefore() puts them.
    * Daemons that know the same members agree on it. @param aHall only those of a hall, if given. */
-  std::vector<const member_info*> Ranked(std::optional<std::string_view> aHall = {}) const;
+  std::vector<const member_info*> RankedServing(std::optional<std::string_view> aHall = {}) const;
   /** @return how many serving members of its own hall come before this one. */
   std::size_t RankInHall() const;
   /** @return how many members, this one included, have folded the record at @p aOffset. */
-  std::size_t CountInForce(std::uint64_t aOffset) const;
+  std::size_t CountHavingApplied(std::uint64_t aOffset) const;
   /** @return the highest offset any other member has reached; 1 if there is none. */
-  std::uint64_t HighestNext() const;
+  std::uint64_t HighestNextOffset() const;
 
 private:
   std::string Pack(const nlohmann::json& aMembers) const;
   bool Update(const member_info& aInfo, instant aNow, member_changes& aChanges);
-  void Bury(incarnation_id aIncarnation);
-  std::vector<member_entry*> LeastTold(std::size_t aCount);
-
-  static constexpr std::size_t kMaxGone = 4096; ///< Ended runs remembered.
-
-  member_info mSelf;                              ///< This daemon.
-  member_settings mSettings;                      ///< Times and budget.
-  std::string mSecret;                            ///< Signs datagrams.
-  std::mt19937_64 mRandom;                        ///< Chooses receivers.
-  std::map<incarnation_id, member_entry> mOthers; ///< Never holds this daemon.
-  std::map<incarnation_id, std::uint64_t> mGone;  ///< Ended runs, with the order of their end.
-  std::uint64_t mGoneCount = 0;                   ///< Ends seen.
+  void RememberEnded(incarnation_id aIncarnation);
+  std::vector<member_entry*> LeastRecentlySent(std::size_t aCount);
+
+  static constexpr std::size_t kMaxEndedRuns = 4096; ///< Ended runs remembered.
+
+  member_info mSelf;                                  ///< This daemon.
+  member_settings mSettings;                          ///< Times and budget.
+  std::string mSecret;                                ///< Signs datagrams.
+  std::mt19937_64 mRandom;                            ///< Chooses receivers.
+  std::map<incarnation_id, member_entry> mOthers;     ///< Never holds this daemon.
+  std::map<incarnation_id, std::uint64_t> mEndedRuns; ///< Ended runs, with the order of their end.
+  std::uint64_t mEndedCount = 0;                      ///< Ends seen.
   /** Beats at which runs fell silent: only a later beat brings one back, not a relayed old one. */
-  std::map<incarnation_id, std::uint64_t> mSilent;
+  std::map<incarnation_id, std::uint64_t> mSilentRuns;
   std::vector<endpoint> mSeeds; ///< Addresses to greet.
 };
 
--- a/src/membership/member_rank.cpp
+++ b/src/membership/member_rank.cpp
@@ -11,7 +11,7 @@
 namespace dunehook {
 
 bool
-GoesBefore(const member_info& aOne, const member_info& aTwo)
+RanksBefore(const member_info& aOne, const member_info& aTwo)
 {
   return std::tie(aTwo.mWeight, aOne.mName, aOne.mIncarnation) <
          std::tie(aOne.mWeight, aTwo.mName, aTwo.mIncarnation);
@@ -24,7 +24,7 @@
   std::uint64_t best =
     mSelf.mServing ? RendezvousRank(aKey, mSelf.mIncarnation.mValue) : std::uint64_t{ 0 };
   for (const auto& [incarnation, entry] : mOthers) {
-    if (!entry.mInfo.mServing || entry.mSuspected != instant{ 0 }) {
+    if (!entry.mInfo.mServing || entry.mUnreachableSince != instant{ 0 }) {
       continue;
     }
     const std::uint64_t rank = RendezvousRank(aKey, incarnation.mValue);
@@ -47,7 +47,7 @@
 }
 
 std::vector<const member_info*>
-member_table::Ranked(std::optional<std::string_view> aHall) const
+member_table::RankedServing(std::optional<std::string_view> aHall) const
 {
   std::vector<const member_info*> ranked;
   if (mSelf.mServing && (!aHall || mSelf.mHall == *aHall)) {
@@ -55,12 +55,12 @@
   }
   for (const auto& [incarnation, entry] : mOthers) {
     const bool wanted = !aHall || entry.mInfo.mHall == *aHall;
-    if (wanted && entry.mInfo.mServing && entry.mSuspected == instant{ 0 }) {
+    if (wanted && entry.mInfo.mServing && entry.mUnreachableSince == instant{ 0 }) {
       ranked.push_back(&entry.mInfo);
     }
   }
   std::sort(ranked.begin(), ranked.end(), [](const member_info* aOne, const member_info* aTwo) {
-    return GoesBefore(*aOne, *aTwo);
+    return RanksBefore(*aOne, *aTwo);
   });
   return ranked;
 }
@@ -71,26 +71,26 @@
   return static_cast<std::size_t>(
     std::count_if(mOthers.begin(), mOthers.end(), [&](const auto& aRow) {
       const member_info& other = aRow.second.mInfo;
-      return other.mServing && other.mHall == mSelf.mHall && GoesBefore(other, mSelf);
+      return other.mServing && other.mHall == mSelf.mHall && RanksBefore(other, mSelf);
     }));
 }
 
 std::size_t
-member_table::CountInForce(std::uint64_t aOffset) const
+member_table::CountHavingApplied(std::uint64_t aOffset) const
 {
-  std::size_t count = mSelf.mNext > aOffset ? 1 : 0;
+  std::size_t count = mSelf.mNextOffset > aOffset ? 1 : 0;
   for (const auto& [incarnation, entry] : mOthers) {
-    count += entry.mInfo.mNext > aOffset ? 1 : 0;
+    count += entry.mInfo.mNextOffset > aOffset ? 1 : 0;
   }
   return count;
 }
 
 std::uint64_t
-member_table::HighestNext() const
+member_table::HighestNextOffset() const
 {
   std::uint64_t highest = 1;
   for (const auto& [incarnation, entry] : mOthers) {
-    highest = std::max(highest, entry.mInfo.mNext);
+    highest = std::max(highest, entry.mInfo.mNextOffset);
   }
   return highest;
 }
--- a/tests/unit/follower_test.cpp
+++ b/tests/unit/follower_test.cpp
@@ -167,7 +167,7 @@
     member_info ahead;
     ahead.mIncarnation = { 2 };
     ahead.mAddress = aPeer;
-    ahead.mNext = kAhead;
+    ahead.mNextOffset = kAhead;
     ahead.mServing = true;
     mAhead = std::make_unique<member_table>(ahead, member_settings{}, kSecret);
     mAhead->AddSeed({ "127.0.0.1", 1 });
--- a/tests/unit/member_test.cpp
+++ b/tests/unit/member_test.cpp
@@ -40,7 +40,7 @@
             mTables[to.mPort - 1U]->Receive(beat.mData, mNow);
           }
         }
-        mTables[index]->Sweep(mNow);
+        mTables[index]->DropSilent(mNow);
       }
     }
   }
@@ -71,12 +71,12 @@
   for (int round = 0; round < 6; ++round) {
     group.Run(500ms);
     for (const auto& table : group.mTables) {
-      const auto asked = table->DrawAsked();
+      const auto asked = table->PickMemberToAsk();
       CHECK(asked.has_value());
       member_table& other = *group.mTables[asked->mPort - 1U];
-      const member_changes changes = other.Receive(table->BuildQuestion(), group.mNow);
-      CHECK(changes.mAsked == table->Self().mAddress);
-      for (const std::string& answer : other.BuildAnswers()) {
+      const member_changes changes = other.Receive(table->BuildMemberRequest(), group.mNow);
+      CHECK(changes.mRequestFrom == table->Self().mAddress);
+      for (const std::string& answer : other.BuildMemberList()) {
         table->Receive(answer, group.mNow);
       }
     }
@@ -96,9 +96,9 @@
   wide.mWeight = 500;
   member_info second = wide;
   second.mName = "c";
-  CHECK_TRUE(GoesBefore(wide, thin));
-  CHECK_FALSE(GoesBefore(thin, wide));
-  CHECK_TRUE(GoesBefore(wide, second));
+  CHECK_TRUE(RanksBefore(wide, thin));
+  CHECK_FALSE(RanksBefore(thin, wide));
+  CHECK_TRUE(RanksBefore(wide, second));
 }
 
 TEST(members, AKeyHasTheSameOwnerEverywhere)
@@ -161,7 +161,7 @@
   there.SetSelf(1, true);
   here.Receive(there.BuildHeartbeat(1s).mData, 1s);
   LONGS_EQUAL(2, here.OwnerOf("k").mIncarnation.mValue);
-  here.Suspect({ 2 }, 1s);
+  here.MarkUnreachable({ 2 }, 1s);
   LONGS_EQUAL(1, here.OwnerOf("k").mIncarnation.mValue);
   here.Receive(there.BuildHeartbeat(2s).mData, 2s);
   LONGS_EQUAL(2, here.OwnerOf("k").mIncarnation.mValue);
