--- a/tests/platform/config_reading_test.cpp
+++ b/tests/platform/config_reading_test.cpp
@@ -22,34 +22,34 @@
 /** How long the store is silent: several reads of 0.7 s and twice as long each; ms. */
 constexpr int kSilenceMs = 6500;
 /** Silences after which a wait of 3 s has just begun, and the time until a write; ms. */
-constexpr std::array<int, 2> kSilences{ 5000, 6050 };
+constexpr std::array<int, 2> kSilencesMs{ 5000, 6050 };
 constexpr int kWriteAfterMs = 100;
 /** What a call to a slow store takes more; ms. */
 constexpr int kSlowMs = 450;
 /** Time between two positions that are out of date; ms. */
-constexpr int kOldTellEveryMs = 30;
+constexpr int kOldReportIntervalMs = 30;
 /** A link that carries 1 MB in 0.25 s, in KB a second. */
-constexpr int kFasterLink = 5000;
+constexpr int kFasterLinkKBytesPerS = 5000;
 /** Whole reads of the two versions that a daemon may take in: one each, and one more. */
-constexpr std::uint64_t kMostReads = 3;
+constexpr std::uint64_t kMaxReads = 3;
 /** How long calls to the store are counted; ms. */
 constexpr int kWatchMs = 3000;
 /** Calls that a daemon may make meanwhile for what it can't get: two a second, for the
  * configuration and for the runners each. */
-constexpr std::uint64_t kMostCalls = 12;
+constexpr std::uint64_t kMaxCalls = 12;
 /** A version that nobody writes, and the time between two claims of it; ms. */
 constexpr std::uint64_t kNeverWritten = 99;
-constexpr int kTellEveryMs = 300;
+constexpr int kReportIntervalMs = 300;
 /** Until a daemon leaves the store to another: it's told, and the wait that it has begun is over;
  * ms.
  */
-constexpr int kUntilTold = 4000;
+constexpr int kUntilReportsUsedMs = 4000;
 /** A link of 10 Mbit/s, in KB a second. */
-constexpr int kThinLink = 1250;
+constexpr int kSlowLinkKBytesPerS = 1250;
 
 /** @return a message in which another daemon tells of a version. */
 run_message
-PositionTold(std::uint64_t aVersion)
+PositionReport(std::uint64_t aVersion)
 {
   run_message message;
   message.mDaemon = 77;
@@ -72,35 +72,36 @@
     mBed.StartDaemon(options);
     CHECK(mBed.Daemon(0).WaitForLine("daemon_heard") != "");
     CHECK(mBed.Daemon(1).WaitForLine("daemon_heard") != "");
-    CHECK_FALSE(Eventually([] { return false; }, kUntilTold));
-    mBed.SetProxy(fleet_bed::StoreLink(1), { { "answer_kb_s", kThinLink } });
+    CHECK_FALSE(Eventually([] { return false; }, kUntilReportsUsedMs));
+    mBed.SetProxy(fleet_bed::StoreLink(1), { { "answer_kb_s", kSlowLinkKBytesPerS } });
   }
 
   /** Writes a large version, and tells the second daemon of it while the first, which would hand it
    * on, stands still. */
-  void TellWithoutPeer()
+  void ReportWithoutPeer()
   {
     mBed.Daemon(0).Signal(SIGSTOP);
     mBed.PutConfig(2, ManyRoutes(2));
-    mBed.SendToRuns(PositionTold(2), 1);
+    mBed.SendToRuns(PositionReport(2), 1);
   }
 
   fleet_bed mBed; ///< The deployment.
 
   /** Starts a daemon that reads the runners and one that is told, and has one more read lately. */
-  void StartReaderAndTold()
+  void StartReaderAndListener()
   {
     mBed.StartUsual();
     mBed.StartDaemon();
     CHECK(mBed.Daemon(1).WaitForLine("daemon_heard") != "");
-    CHECK_FALSE(Eventually([] { return false; }, kUntilTold)); // The second leaves the store to it.
+    CHECK_FALSE(
+      Eventually([] { return false; }, kUntilReportsUsedMs)); // The second leaves the store to it.
     mBed.AddRunner("desk-3");
     CHECK(mBed.Daemon(1).WaitForLine("\"runner\":\"desk-3\"") != "");
   }
 
   /** @return a message of another hall's reader, which was first with what comes next after
-   * StartReaderAndTold(): six entries lie in the store by then. */
-  run_message LeaveTold() const
+   * StartReaderAndListener(): six entries lie in the store by then. */
+  run_message LeaveReport() const
   {
     run_message first;
     first.mDaemon = 77;
@@ -118,7 +119,7 @@
 };
 
 // A daemon that the store turns away has the configuration from another one of its hall.
-TEST(config_reading, AConfigurationIsHandedOnToADaemonThatIsTurnedAway)
+TEST(config_reading, ADaemonRefusedByTheStoreGetsTheConfigurationFromAnother)
 {
   StartTwo();
   mBed.SetProxy(fleet_bed::StoreLink(1), { { "refuse", 1 }, { "reset", 1 } });
@@ -129,11 +130,11 @@
 }
 
 // So it has the runners: one that leaves is known there within half of the time that it has.
-TEST(config_reading, LeavingRunnersAreHandedOnToADaemonThatIsTurnedAway)
+TEST(config_reading, ADaemonRefusedByTheStoreLearnsOfLeavingRunnersFromAnother)
 {
   StartTwo();
   mBed.AddRunner("desk-2");
-  CHECK_FALSE(Eventually([] { return false; }, kUntilTold));
+  CHECK_FALSE(Eventually([] { return false; }, kUntilReportsUsedMs));
   mBed.SetProxy(fleet_bed::StoreLink(1), { { "refuse", 1 }, { "reset", 1 } });
   mBed.List("desk-2", "draining");
   CHECK(mBed.Daemon(1).WaitForLine("\"leaving\":true", kShortInForceMs / 2) != "");
@@ -141,7 +142,7 @@
 
 // 295 daemons made 11,313 calls to the store on a calm day of 48 s, 2,576 with the runners handed
 // on; two made some 2 a second for two daemons.
-TEST(config_reading, ADaemonThatIsToldAsksTheStoreForNothing)
+TEST(config_reading, ADaemonThatGetsReportsDoesNotCallTheStore)
 {
   StartTwo();
   const std::uint64_t before = mBed.ConnectionsThrough(fleet_bed::StoreLink(1));
@@ -173,44 +174,44 @@
   mBed.PutConfig(3, ManyRoutes(3));
   CHECK(ServesAdded(mBed, 1, 3, kInForceMs));
   const std::uint64_t taken = mBed.BytesThrough(fleet_bed::StoreLink(1)) - before;
-  CHECK(taken < kMostReads * WholeReadBytes(3));
+  CHECK(taken < kMaxReads * WholeReadBytes(3));
 }
 
 // A read that is the only one at a time must not hold the next one up when its answer is lost.
-TEST(config_reading, AWholeReadWhoseAnswerIsLostIsAskedForAgain)
+TEST(config_reading, AFullReadIsRepeatedWhenItsAnswerIsLost)
 {
   StartTwo();
   mBed.SetStore("lose_whole");
-  TellWithoutPeer();
+  ReportWithoutPeer();
   CHECK(ServesAdded(mBed, 1, 2, kInForceMs));
   CHECK(mBed.Daemon(1).WaitForLine("deadline_passed") != "");
 }
 
 // Same cause as above in another place: what another daemon tells was asked of the store again
 // every 100 and every 250 ms, also while the store turned the daemon away or held nothing newer.
-TEST(config_reading, ADaemonThatIsTurnedAwayAsksSeldom)
+TEST(config_reading, ADaemonRefusedByTheStoreCallsItSeldom)
 {
   StartTwo();
   mBed.SetProxy(fleet_bed::StoreLink(1), { { "refuse", 1 }, { "reset", 1 } });
-  TellWithoutPeer();
+  ReportWithoutPeer();
   CHECK(mBed.Daemon(1).WaitForLine("config_behind") != "");
   const std::uint64_t before = mBed.ConnectionsThrough(fleet_bed::StoreLink(1));
   CHECK_FALSE(Eventually([] { return false; }, kWatchMs));
-  CHECK(mBed.ConnectionsThrough(fleet_bed::StoreLink(1)) - before <= kMostCalls);
+  CHECK(mBed.ConnectionsThrough(fleet_bed::StoreLink(1)) - before <= kMaxCalls);
   mBed.MendProxy(fleet_bed::StoreLink(1));
   CHECK(ServesAdded(mBed, 1, 2, kInForceMs));
 }
 
-TEST(config_reading, AClaimThatTheStoreDoesNotBearOutCostsFewReads)
+TEST(config_reading, AReportedVersionThatTheStoreLacksCostsFewReads)
 {
   StartTwo();
   const std::uint64_t before = mBed.WholeReads();
   const instant until = boot_clock_source{}.Now() + std::chrono::milliseconds(kWatchMs);
   while (boot_clock_source{}.Now() < until) {
-    mBed.SendToRuns(PositionTold(kNeverWritten), 1);
-    CHECK_FALSE(Eventually([] { return false; }, kTellEveryMs));
+    mBed.SendToRuns(PositionReport(kNeverWritten), 1);
+    CHECK_FALSE(Eventually([] { return false; }, kReportIntervalMs));
   }
-  CHECK(mBed.WholeReads() - before <= kMostCalls);
+  CHECK(mBed.WholeReads() - before <= kMaxCalls);
   mBed.PutConfig(2, ManyRoutes(2));
   CHECK(ServesAdded(mBed, 1, 2, kInForceMs));
 }
@@ -232,7 +233,7 @@
   CHECK(ServesAdded(mBed, 1, 2, kShortInForceMs));
 }
 
-TEST(config_reading, ADaemonThatStartsBesideASilentStoreIsReadySoonAfterIt)
+TEST(config_reading, ADaemonStartedWhileTheStoreIsSilentIsReadySoonAfter)
 {
   mBed.AddRunner("desk-1");
   mBed.PutConfig(1);
@@ -251,7 +252,7 @@
   mBed.PutConfig(1);
   mBed.StartDaemon();
   int version = 1;
-  for (const int silence : kSilences) {
+  for (const int silence : kSilencesMs) {
     ++version;
     mBed.SetStore("silent");
     CHECK_FALSE(Eventually([] { return false; }, silence));
@@ -276,25 +277,25 @@
 
 // Daemons that read the store for others aren't equally far. One that was behind took back what
 // another had just told, and a leaving runner became known after 3.8 s.
-TEST(config_reading, AnOlderPositionTakesNothingBack)
+TEST(config_reading, AReportOfAnOlderPositionUndoesNothing)
 {
   StartTwo();
   mBed.AddRunner("desk-2");
-  CHECK_FALSE(Eventually([] { return false; }, kUntilTold));
+  CHECK_FALSE(Eventually([] { return false; }, kUntilReportsUsedMs));
   mBed.List("desk-2", "draining");
   bool known = false;
   const instant until = boot_clock_source{}.Now() + std::chrono::milliseconds(kShortInForceMs);
   while (!known && boot_clock_source{}.Now() < until) {
-    mBed.SendToRuns(PositionTold(1), 1);
-    known = mBed.Daemon(1).WaitForLine("\"leaving\":true", kOldTellEveryMs) != "";
+    mBed.SendToRuns(PositionReport(1), 1);
+    known = mBed.Daemon(1).WaitForLine("\"leaving\":true", kOldReportIntervalMs) != "";
   }
   CHECK(known);
 }
 
-TEST(config_reading, AReadThatStallsIsAskedForAgain)
+TEST(config_reading, AStalledReadIsRepeated)
 {
   StartTwo();
-  mBed.SetProxy(fleet_bed::StoreLink(1), { { "answer_kb_s", kFasterLink } });
+  mBed.SetProxy(fleet_bed::StoreLink(1), { { "answer_kb_s", kFasterLinkKBytesPerS } });
   mBed.SetStore("stall_whole");
   mBed.PutConfig(2, ManyRoutes(2));
   CHECK(ServesAdded(mBed, 1, 2, kShortInForceMs));
@@ -307,22 +308,22 @@
 // for up to date. Cause: the changes that were kept had a gap where another's had been taken in.
 // Evidence: the lines of such a daemon go from position 100 to 110 without the runners that changed
 // at 103.
-TEST(config_reading, WhatAnotherToldIsNotPassedOverInWhatIsTold)
+TEST(config_reading, ChangesFromAnotherReaderAreNotSkippedInReports)
 {
-  StartReaderAndTold();
-  mBed.SendToRuns(LeaveTold(), 0);
+  StartReaderAndListener();
+  mBed.SendToRuns(LeaveReport(), 0);
   mBed.List("desk-1", "draining");
   CHECK(mBed.Daemon(0).WaitForLine("\"leaving\":true") != "");
   CHECK(mBed.Daemon(1).WaitForLine("\"leaving\":true", kShortInForceMs) != "");
 }
 
 // The same, where the reader is told while it waits for the answer of its own read.
-TEST(config_reading, WhatAnotherToldDuringAReadIsNotPassedOver)
+TEST(config_reading, ChangesReportedDuringAReadAreNotSkipped)
 {
-  StartReaderAndTold();
+  StartReaderAndListener();
   mBed.SetStore("hold_runners");
   CHECK(Eventually([&] { return mBed.HeldReads() > 0; }));
-  mBed.SendToRuns(LeaveTold(), 0);
+  mBed.SendToRuns(LeaveReport(), 0);
   mBed.List("desk-1", "draining");
   CHECK(mBed.Daemon(0).WaitForLine("\"leaving\":true") != "");
   mBed.SetStore("");
@@ -335,19 +336,20 @@
 // Cause: the wait was longer than the time in which a change must be in force, and all daemons
 // relied on it. Evidence: a wait from 2.65 to 5.66 s, which brought what had been written at 2.67
 // s; the others were told by that reader every 0.9 s that nothing was new.
-TEST(config_reading, AWaitThatHearsNothingIsOverInTime)
+TEST(config_reading, ALongPollThatMissesARecordEndsInTime)
 {
   StartTwo();
   mBed.SetStore("deaf");
-  CHECK_FALSE(Eventually([] { return false; }, kUntilTold)); // The waits are begun anew by then.
+  CHECK_FALSE(
+    Eventually([] { return false; }, kUntilReportsUsedMs)); // The waits are begun anew by then.
   mBed.PutConfig(2, json::array({ AddedRoute(2) }));
-  CHECK(ServesAdded(mBed, 0, 2, kUntilTold)); // From then on it waits for the next.
+  CHECK(ServesAdded(mBed, 0, 2, kUntilReportsUsedMs)); // From then on it waits for the next.
   mBed.PutConfig(3, json::array({ AddedRoute(2), AddedRoute(3) }));
   CHECK(ServesAdded(mBed, 0, 3, kShortInForceMs));
 }
 
 // A wait takes its whole time where the store doesn't notice what has been written already.
-TEST(config_reading, ADaemonThatTakesOverFindsWhatWasWrittenMeanwhile)
+TEST(config_reading, ADaemonThatTakesOverFindsRecordsWrittenMeanwhile)
 {
   mBed.AddRunner("desk-1");
   mBed.PutConfig(1);
@@ -357,11 +359,12 @@
   mBed.StartDaemon();
   CHECK(mBed.Daemon(0).WaitForLine("daemon_heard") != "");
   CHECK(mBed.Daemon(1).WaitForLine("daemon_heard") != "");
-  CHECK_FALSE(Eventually([] { return false; }, kUntilTold)); // The second leaves the store to it.
+  CHECK_FALSE(
+    Eventually([] { return false; }, kUntilReportsUsedMs)); // The second leaves the store to it.
   mBed.SetStore("deaf");
   mBed.SetProxy(fleet_bed::StoreLink(0), { { "refuse", 1 }, { "reset", 1 } });
-  mBed.SendToRuns(PositionTold(1), 1); // The last that it hears of the store.
+  mBed.SendToRuns(PositionReport(1), 1); // The last that it hears of the store.
   mBed.PutConfig(2, json::array({ AddedRoute(2) }));
   CHECK(ServesAdded(mBed, 1, 2, kShortInForceMs));
-  CHECK(ServesAdded(mBed, 0, 2, kUntilTold));
+  CHECK(ServesAdded(mBed, 0, 2, kUntilReportsUsedMs));
 }
--- a/tests/platform/epoch_test.cpp
+++ b/tests/platform/epoch_test.cpp
@@ -43,7 +43,7 @@
 
 /** Requests by which a runner that may be chosen is chosen at least once: of two alike, each is
  * passed over in all of them in one case of a million. */
-constexpr int kRequests = 20;
+constexpr int kRequestsPerCheck = 20;
 
 } // namespace
 
@@ -56,7 +56,7 @@
   int CountAt(const std::string& aRunner, std::size_t aDaemon = 0)
   {
     int count = 0;
-    for (int i = 0; i < kRequests; ++i) {
+    for (int i = 0; i < kRequestsPerCheck; ++i) {
       const std::string id = "r" + std::to_string(++mRequest);
       const answer got = Call(mBed.Callers(aDaemon), "GET", "/pages/a", "", CallerHeaders(id));
       const std::vector<json> seen = mBed.Seen(id);
@@ -74,7 +74,7 @@
   }
 
   /** Starts a daemon with runners that tell when they were born. */
-  void StartBorn()
+  void StartWithStartTimes()
   {
     mBed.AddRunner("desk-1", { .mBorn = 100 });
     mBed.AddRunner("prefill-1", { .mService = "tutor", .mRole = "prefill", .mBorn = 100 });
@@ -84,7 +84,7 @@
   }
 
   /** Waits until the daemon has read what was written so far. */
-  void AwaitRead()
+  void WaitUntilRead()
   {
     const std::string marker = "marker-" + std::to_string(++mRequest);
     mBed.ListUnreachable(marker, { .mService = "none", .mBorn = 100 });
@@ -92,30 +92,30 @@
   }
 };
 
-TEST(epochs, ARunnerThatBeganAnewTakesRequestsThoughItsFormerLifeLeft)
+TEST(epochs, ARestartedRunnerGetsRequestsAfterItsEarlierProcessLeft)
 {
-  StartBorn();
+  StartWithStartTimes();
   mBed.SetRunner("desk-1", { { "leaves", true } });
   CountAt("desk-1");
   LONGS_EQUAL(0, CountAt("desk-1"));
   mBed.Rebear("desk-1", 200);
-  AwaitRead();
-  LONGS_EQUAL(kRequests, CountAt("desk-1"));
+  WaitUntilRead();
+  LONGS_EQUAL(kRequestsPerCheck, CountAt("desk-1"));
 }
 
-TEST(epochs, ARunnerThatBeganAnewTakesRequestsThoughItsFormerLifesEntryLeft)
+TEST(epochs, ARestartedRunnerGetsRequestsAfterItsEarlierEntryLeft)
 {
-  StartBorn();
+  StartWithStartTimes();
   mBed.List("desk-1", "draining");
   CHECK_TRUE(mBed.Daemon().WaitForLine("\"leaving\":true") != "");
   mBed.Rebear("desk-1", 200);
-  AwaitRead();
-  LONGS_EQUAL(kRequests, CountAt("desk-1"));
+  WaitUntilRead();
+  LONGS_EQUAL(kRequestsPerCheck, CountAt("desk-1"));
 }
 
-TEST(epochs, AnEngineThatBeganAnewTwiceInARowGeneratesAtOnce)
+TEST(epochs, AnEngineRestartedTwiceGeneratesAtOnce)
 {
-  StartBorn();
+  StartWithStartTimes();
   CHECK_TRUE(Generates());
   mBed.SetRunner("decode-1", { { "free", 0 }, { "retry_after", "60" } });
   Generates(); // It wants nothing for a minute.
@@ -123,26 +123,26 @@
   mBed.SetRunner("decode-1", { { "free", 100000 }, { "reborn", true } });
   mBed.ListBorn("decode-1", 200);
   mBed.ListBorn("decode-1", 300);
-  AwaitRead();
+  WaitUntilRead();
   CHECK_TRUE(Generates());
 }
 
-TEST(epochs, AnEntryOfAFormerLifeIsNotFollowed)
+TEST(epochs, AnEntryOfAnEarlierProcessIsIgnored)
 {
-  StartBorn();
+  StartWithStartTimes();
   mBed.Rebear("desk-1", 200);
-  AwaitRead();
+  WaitUntilRead();
   // An entry of before comes late; it names an address where nobody listens any more.
   mBed.ListRaw("desk-1",
                R"({"service":"desk","address":"127.0.0.250:9","zone":"hall-a","version":"v1",)"
                R"("slots":8,"state":"ready","cold-remaining-ms":0,"sequence":1,"born":100})");
-  AwaitRead();
-  LONGS_EQUAL(kRequests, CountAt("desk-1"));
+  WaitUntilRead();
+  LONGS_EQUAL(kRequestsPerCheck, CountAt("desk-1"));
 }
 
 TEST(epochs, AConfigurationIsInForceAfterTheStoreWentBackThoughItsOffsetIsOld)
 {
-  StartBorn();
+  StartWithStartTimes();
   mBed.PutConfig(2, json::array({ AddedRoute(2) }));
   CHECK_TRUE(ServesAdded(mBed, 0, 2, kInForceMs));
   mBed.PutConfig(3, json::array({ AddedRoute(2), AddedRoute(3) }), { { "keyed.op", 1 } });
@@ -151,7 +151,7 @@
 
 TEST(epochs, AConfigurationInForceIsNotRevertedByAnOlderStore)
 {
-  StartBorn();
+  StartWithStartTimes();
   mBed.StartDaemon();
   mBed.PutConfig(2, json::array({ AddedRoute(2) }));
   CHECK_TRUE(ServesAdded(mBed, 0, 2, kInForceMs));
@@ -167,10 +167,10 @@
 
 TEST(epochs, ARunnerWhoseEntryIsMissingSinceTheStoreWentBackIsNotTakenForGone)
 {
-  StartBorn();
+  StartWithStartTimes();
   mBed.AddRunner("late", { .mService = "tutor", .mRole = "decode", .mBorn = 100 });
   mBed.List("desk-1", "ready"); // Its newest record; the others stay.
-  AwaitRead();
+  WaitUntilRead();
   mBed.LetStoreGoBack({ { "keyed.servers", 100 } }); // None is left.
   const auto failed = [&] {
     const headers head = CallerHeaders("r" + std::to_string(++mRequest));
@@ -183,7 +183,7 @@
 
 TEST(epochs, ARunnerWhoseEntryStaysMissingIsTakenForGone)
 {
-  StartBorn();
+  StartWithStartTimes();
   mBed.LetStoreGoBack({ { "keyed.servers", 100 } });
   CHECK_TRUE(Eventually(
     [&] {
@@ -193,9 +193,9 @@
     3 * kEntriesBackMs));
 }
 
-TEST(epochs, ARunnerIsHeardOfThoughItsOffsetWasGivenOutBefore)
+TEST(epochs, ARunnerWithAReusedOffsetIsFound)
 {
-  StartBorn();
+  StartWithStartTimes();
   mBed.ListUnreachable("forgotten", { .mService = "none", .mBorn = 100 });
   CHECK_TRUE(mBed.Daemon().WaitForLine("\"runner\":\"forgotten\"") != "");
   mBed.LetStoreGoBack({ { "keyed.servers", 1 } });
@@ -206,7 +206,7 @@
 
 TEST(epochs, ARunnerThatLeftStaysLeftWhereAnOlderStoreListsIt)
 {
-  StartBorn();
+  StartWithStartTimes();
   mBed.AddRunner("desk-2", { .mBorn = 100 });
   mBed.List("desk-1", "");
   CHECK_TRUE(mBed.Daemon().WaitForLine("\"listed\":false") != "");
@@ -214,7 +214,7 @@
   CHECK_TRUE(mBed.Daemon().WaitForLine("store_went_back") != "");
   LONGS_EQUAL(0, CountAt("desk-1"));
   mBed.List("desk-1", ""); // What was written is written again.
-  AwaitRead();
+  WaitUntilRead();
   LONGS_EQUAL(0, CountAt("desk-1"));
 }
 
@@ -246,7 +246,7 @@
 TEST(epochs, OneDaemonOfAHallReadsAStoreThatWentBackForAll)
 {
   constexpr std::size_t kDaemons = 5;
-  StartBorn();
+  StartWithStartTimes();
   for (std::size_t i = 1; i < kDaemons; ++i) {
     mBed.StartDaemon();
   }
@@ -268,9 +268,9 @@
   CHECK_TRUE(mBed.WholeReads() - before <= 4);
 }
 
-TEST(epochs, EntriesOfOtherWritersNameNoRunnerAndTheOthersHold)
+TEST(epochs, MalformedEntriesAddNoRunnerAndLeaveTheOthers)
 {
-  StartBorn();
+  StartWithStartTimes();
   json ready = mBed.EntryOf("desk-1");
   ready["state"] = "ready";
   const auto with = [&](const char* aName, const json& aValue) {
@@ -288,19 +288,19 @@
   mBed.ListRaw("list-models", with("models", 5));
   mBed.ListRaw("strange-stage", with("stage", "resting"));
   mBed.ListRaw("no-object", "\"not an entry\"");
-  AwaitRead();
-  LONGS_EQUAL(kRequests, CountAt("desk-1"));
+  WaitUntilRead();
+  LONGS_EQUAL(kRequestsPerCheck, CountAt("desk-1"));
   std::size_t seen = 0;
   for (const json& one : mBed.Seen()) {
     seen += one.value("target", "") == "/pages/a" ? 1 : 0;
   }
-  LONGS_EQUAL(kRequests, seen); // None was sent in the name of another.
+  LONGS_EQUAL(kRequestsPerCheck, seen); // None was sent in the name of another.
   // A writer that goes on: one line.
   CHECK_TRUE(mBed.Daemon().WaitForLine("\"runner\":\"no-object\"") != "");
-  for (int i = 0; i < kRequests; ++i) {
+  for (int i = 0; i < kRequestsPerCheck; ++i) {
     mBed.ListRaw("no-object", std::to_string(i));
   }
-  AwaitRead();
+  WaitUntilRead();
   const std::string lines = mBed.Daemon().Output();
   const std::string one = "\"runner\":\"no-object\"";
   CHECK_TRUE(lines.find(one, lines.find(one) + 1) == std::string::npos);
@@ -308,7 +308,7 @@
 
 // Of runners that don't tell their birth none was used any more once another writer's entry told
 // one.
-TEST(epochs, OneEntryThatTellsABirthHidesNoRunnersThatDoNot)
+TEST(epochs, AnEntryWithAStartTimeHidesNoRunnersWithoutOne)
 {
   mBed.StartUsual();
   json foreign = mBed.EntryOf("desk-1");
@@ -318,18 +318,18 @@
   mBed.ListRaw("foreign", foreign.dump());
   CHECK_TRUE(mBed.Daemon().WaitForLine("\"runner\":\"foreign\"") != "");
   int served = 0;
-  for (int i = 0; i < kRequests; ++i) {
+  for (int i = 0; i < kRequestsPerCheck; ++i) {
     const headers head = CallerHeaders("r" + std::to_string(++mRequest));
     served += Call(mBed.Callers(), "GET", "/pages/a", "", head).mStatus == 200 ? 1 : 0;
   }
-  LONGS_EQUAL(kRequests, served);
+  LONGS_EQUAL(kRequestsPerCheck, served);
 }
 
 // Their ports aren't protected: whatever comes there must end no daemon.
 TEST(epochs, ChangedDatagramsEndNoDaemon)
 {
   constexpr int kDatagrams = 4000;
-  StartBorn();
+  StartWithStartTimes();
   CHECK_TRUE(Generates());
   std::mt19937_64 random(27);
   const std::string run = Encode(FullMessage(), boot_clock_source{}.Now());
@@ -343,6 +343,6 @@
   mBed.SendBytes(std::string(60000, '\x81'), 1); // Arrays in arrays.
   mBed.SendBytes(std::string(60000, '\x81'), 2);
   CHECK_TRUE(mBed.Daemon().Running());
-  LONGS_EQUAL(kRequests, CountAt("desk-1"));
+  LONGS_EQUAL(kRequestsPerCheck, CountAt("desk-1"));
   CHECK_TRUE(Eventually([&] { return Generates(); })); // What it was told of runs lapses.
 }
--- a/tests/platform/many_test.cpp
+++ b/tests/platform/many_test.cpp
@@ -25,24 +25,24 @@
 constexpr std::size_t kHalls = 4;
 /** Each third daemon, from this one on, is on a fast link, all others are on thin ones: 13 of 20,
  * and the first ones of two halls. */
-constexpr std::size_t kFastEach = 3;
+constexpr std::size_t kFastEvery = 3;
 constexpr std::size_t kFirstFast = 1;
 /** A link of 10 Mbit/s, in KB a second: the machines of docs/incidents/iskedyul-2.md. */
-constexpr int kThinLink = 1250;
+constexpr int kSlowLinkKBytesPerS = 1250;
 
 /** Time in which a change must be in force at every daemon, from the store's answer; ms. From
  * docs/incidents/iskedyul-2.md: three seconds after the acknowledgement. */
 constexpr int kInForceMs = 3000;
 /** Time after which a leaving runner is sent nothing, from the store's answer; ms. The daemons aim
  * at half of it: kRunnerReadInterval in src/links/store_follower.h. */
-constexpr int kLeftMs = 2000;
+constexpr int kLeaveNoticedMs = 2000;
 /** Time that a reset of all connections excuses, after which the above must hold: both together,
  * for connections that fell silent; ms. A silence counts as a reset. */
 constexpr int kResetMs = 3000;
 /** Limit where connections fell silent right before a change, for versions and runners; ms. */
-constexpr int kSilencedMs = kResetMs + kLeftMs;
+constexpr int kSilencedMs = kResetMs + kLeaveNoticedMs;
 /** Whole reads that a daemon may take in for two large versions: one each, and one more. */
-constexpr std::uint64_t kMostReads = 3;
+constexpr std::uint64_t kMaxReads = 3;
 
 /** Large versions one after the other, and the time between them; ms. */
 constexpr int kVersionsInARow = 8;
@@ -56,7 +56,7 @@
 /** Time between signals to the daemons that stop; ms. */
 constexpr int kBetweenStopsMs = 300;
 /** Each third daemon is stopped: 7 of 20, the first one of a hall and of all seeds among them. */
-constexpr std::size_t kStopEach = 3;
+constexpr std::size_t kStopEvery = 3;
 /** Longest time for any request: the limit of a planned stop (grace-s of the bed); ms. */
 constexpr int kLongestCallMs = 8000;
 
@@ -64,15 +64,15 @@
 constexpr int kAllHeardMs = 15000;
 /** Until daemons leave the store to another: the wait that they have begun is over after 3 s, see
  * kConfigLongPollTime and kReportLifetime in src/links/store_follower.h; ms. */
-constexpr int kUntilTold = 4000;
+constexpr int kUntilReportsUsedMs = 4000;
 /** Time for callers to begin, and for a fault to be felt, before what is tested; ms. */
 constexpr int kSettleMs = 1000;
 /** Time between two looks at one daemon; ms. */
-constexpr int kLookMs = 50;
+constexpr int kCheckIntervalMs = 50;
 /** Time between two looks at one daemon over all versions: below the limit of its lines; ms. */
-constexpr int kLookAtAllMs = 150;
+constexpr int kVersionCheckIntervalMs = 150;
 /** Time over which callers are watched beyond a limit; ms. */
-constexpr int kBeyondMs = 2000;
+constexpr int kObserveAfterMs = 2000;
 /** A caller's pause between plain requests; ms. */
 constexpr int kPlainPauseMs = 100;
 /** Events of a stream, and the time between them; ms: 4 s a stream, so that one that is taken late
@@ -84,7 +84,7 @@
 
 /** Lets time pass in which nothing is waited for. */
 void
-Pass(int aMs)
+SleepMs(int aMs)
 {
   std::this_thread::sleep_for(std::chrono::milliseconds(aMs));
 }
@@ -96,9 +96,9 @@
 }
 
 bool
-IsThin(std::size_t aDaemon)
+HasSlowLink(std::size_t aDaemon)
 {
-  return aDaemon % kFastEach != kFirstFast;
+  return aDaemon % kFastEvery != kFirstFast;
 }
 
 /** @return the daemon of a hall whose name is the first: it reads the store for the others. */
@@ -169,7 +169,7 @@
 }
 
 /** How daemons came by a version. */
-struct spread
+struct version_timing
 {
   std::vector<std::size_t> mLate; ///< Daemons that hadn't it in time.
   std::int64_t mLastMs = 0;       ///< When the last of the others had it.
@@ -184,7 +184,7 @@
 };
 
 /** Waits until daemons serve the route that only a version has, each watched by itself. */
-spread
+version_timing
 AwaitVersion(const fleet_bed& aBed,
              const std::vector<std::size_t>& aDaemons,
              int aVersion,
@@ -204,11 +204,11 @@
         if (Call(aBed.Callers(daemon), "GET", AddedPath(aVersion), "", sent).mStatus == 200) {
           return now - aWrittenAt; // Sent then, and so in force by then or right after.
         }
-        Pass(kLookMs);
+        SleepMs(kCheckIntervalMs);
       }
     }));
   }
-  spread found;
+  version_timing found;
   for (std::size_t i = 0; i < looks.size(); ++i) {
     const std::int64_t after = looks[i].get();
     if (after < 0) {
@@ -265,7 +265,7 @@
         return "version " + std::to_string(version) + " after " + std::to_string(at);
       }
     }
-    Pass(kLookAtAllMs);
+    SleepMs(kVersionCheckIntervalMs);
   }
   return "";
 }
@@ -312,21 +312,22 @@
       },
       kAllHeardMs));
     const std::int64_t heard = NowMs();
-    Pass(kUntilTold);
-    Tell("lines in " + mBed.Folder() + "; all ready after " + std::to_string(ready - began) +
-         " ms, heard after " + std::to_string(heard - began) + " ms");
+    SleepMs(kUntilReportsUsedMs);
+    PrintMeasured("lines in " + mBed.Folder() + "; all ready after " +
+                  std::to_string(ready - began) + " ms, heard after " +
+                  std::to_string(heard - began) + " ms");
   }
 
   void ThinLinks()
   {
     std::size_t firsts = 0;
     for (std::size_t hall = 0; hall < kHalls; ++hall) {
-      firsts += IsThin(FirstOfHall(hall)) ? 1 : 0;
+      firsts += HasSlowLink(FirstOfHall(hall)) ? 1 : 0;
     }
     CHECK_EQUAL(2U, firsts);
     for (std::size_t daemon = 0; daemon < kDaemons; ++daemon) {
-      if (IsThin(daemon)) {
-        mBed.SetProxy(fleet_bed::StoreLink(daemon), { { "answer_kb_s", kThinLink } });
+      if (HasSlowLink(daemon)) {
+        mBed.SetProxy(fleet_bed::StoreLink(daemon), { { "answer_kb_s", kSlowLinkKBytesPerS } });
       }
     }
   }
@@ -362,7 +363,7 @@
                        int aLimitMs,
                        const std::string& aOut = "")
   {
-    Pass(std::max(0, static_cast<int>(aLeftAt + aLimitMs + kBeyondMs - NowMs())));
+    SleepMs(std::max(0, static_cast<int>(aLeftAt + aLimitMs + kObserveAfterMs - NowMs())));
     const std::size_t ended = aCallers.Records().size();
     aCallers.Stop();
     CHECK(ended > kDaemons);
@@ -383,18 +384,18 @@
       }
     }
     CHECK(before > 0); // It had work before, so that what follows tells something.
-    Tell(aRunner + ": last sent after " + std::to_string(last) + " ms");
+    PrintMeasured(aRunner + ": last sent after " + std::to_string(last) + " ms");
     return late;
   }
 
-  void CheckInTime(const spread& aFound, const std::string& aWhat)
+  void CheckInTime(const version_timing& aFound, const std::string& aWhat)
   {
-    Tell(aWhat + ": " + aFound.Text());
+    PrintMeasured(aWhat + ": " + aFound.Text());
     CHECK_TEXT(aFound.mLate.empty(), (aWhat + ": " + aFound.Text()).c_str());
   }
 
   /** Prints what a test has measured. */
-  void Tell(const std::string& aText)
+  void PrintMeasured(const std::string& aText)
   {
     UT_PRINT(aText.c_str());
   }
@@ -410,22 +411,24 @@
   for (std::size_t daemon = 0; daemon < kDaemons; ++daemon) {
     before.push_back(mBed.BytesThrough(fleet_bed::StoreLink(daemon)));
   }
-  const spread first = AwaitVersion(mBed, AllBut({}), 2, Write(2, ManyRoutes(2)), kInForceMs);
-  Tell("version 2: " + first.Text());
-  const spread second = AwaitVersion(mBed, AllBut({}), 3, Write(3, ManyRoutes(3)), kInForceMs);
-  Pass(kBeyondMs); // Reads that are under way are taken in too.
+  const version_timing first =
+    AwaitVersion(mBed, AllBut({}), 2, Write(2, ManyRoutes(2)), kInForceMs);
+  PrintMeasured("version 2: " + first.Text());
+  const version_timing second =
+    AwaitVersion(mBed, AllBut({}), 3, Write(3, ManyRoutes(3)), kInForceMs);
+  SleepMs(kObserveAfterMs); // Reads that are under way are taken in too.
   std::uint64_t most = 0;
   std::string tooMuch;
   for (std::size_t daemon = 0; daemon < kDaemons; ++daemon) {
     const std::uint64_t taken = mBed.BytesThrough(fleet_bed::StoreLink(daemon)) - before[daemon];
     most = std::max(most, taken);
-    if (taken >= kMostReads * WholeReadBytes(3)) {
+    if (taken >= kMaxReads * WholeReadBytes(3)) {
       tooMuch += " " + std::to_string(daemon) + ": " + std::to_string(taken);
     }
   }
-  Tell("most bytes at one daemon: " + std::to_string(most) + " of " +
-       std::to_string(kMostReads * WholeReadBytes(3)) + "; too much at" + tooMuch);
-  Tell("version 3: " + second.Text());
+  PrintMeasured("most bytes at one daemon: " + std::to_string(most) + " of " +
+                std::to_string(kMaxReads * WholeReadBytes(3)) + "; too much at" + tooMuch);
+  PrintMeasured("version 3: " + second.Text());
   CheckInTime(first, "version 2");
   CheckInTime(second, "version 3");
   CHECK_TEXT(tooMuch.empty(), tooMuch.c_str());
@@ -451,12 +454,12 @@
   std::int64_t next = NowMs();
   std::int64_t written = 0;
   for (int version = kFirst; version <= kLast; ++version) {
-    Pass(std::max(0, static_cast<int>(next - NowMs())));
+    SleepMs(std::max(0, static_cast<int>(next - NowMs())));
     next += kBetweenVersionsMs;
     written = Write(version, versions.at(static_cast<std::size_t>(version - kFirst)));
   }
-  const spread found = AwaitVersion(mBed, AllBut({}), kLast, written, kInForceMs);
-  Pass(kBeyondMs); // An older one that comes late would be seen.
+  const version_timing found = AwaitVersion(mBed, AllBut({}), kLast, written, kInForceMs);
+  SleepMs(kObserveAfterMs); // An older one that comes late would be seen.
   stop = true;
   std::string back;
   for (std::size_t daemon = 0; daemon < kDaemons; ++daemon) {
@@ -470,21 +473,21 @@
   CheckInTime(found, "last version");
 }
 
-TEST(many, AHallWhoseFirstDaemonIsCutOffLearnsInTime)
+TEST(many, AHallWhoseReaderIsCutOffLearnsInTime)
 {
   const std::size_t cut = FirstOfHall(2);
   StartAll();
   steady_callers callers(PlainCallers(mBed, AllBut({})));
-  Pass(kSettleMs);
+  SleepMs(kSettleMs);
   mBed.SetProxy(fleet_bed::StoreLink(cut), { { "stall", 1 } });
   const std::int64_t written = WriteSmall(2);
   const std::int64_t left = Leave("desk-2");
-  const spread found = AwaitVersion(mBed, AllBut({ cut }), 2, written, kInForceMs);
+  const version_timing found = AwaitVersion(mBed, AllBut({ cut }), 2, written, kInForceMs);
   const std::string late =
-    SentLate(callers, "desk-2", left, kLeftMs, "plain" + std::to_string(cut));
+    SentLate(callers, "desk-2", left, kLeaveNoticedMs, "plain" + std::to_string(cut));
   mBed.MendProxy(fleet_bed::StoreLink(cut));
-  const spread healed = AwaitVersion(mBed, { cut }, 2, NowMs(), kInForceMs);
-  Tell("after the link healed: " + healed.Text());
+  const version_timing healed = AwaitVersion(mBed, { cut }, 2, NowMs(), kInForceMs);
+  PrintMeasured("after the link healed: " + healed.Text());
   CheckInTime(found, "others");
   CHECK_TEXT(late.empty(), late.c_str());
   CheckInTime(healed, "cut off");
@@ -498,14 +501,14 @@
   }
   StartAll();
   steady_callers callers(PlainCallers(mBed, AllBut(cut)));
-  Pass(kSettleMs);
+  SleepMs(kSettleMs);
   for (const std::size_t daemon : cut) {
     mBed.SetProxy(fleet_bed::StoreLink(daemon), { { "stall", 1 } });
   }
   const std::int64_t written = WriteSmall(2);
   const std::int64_t left = Leave("desk-2");
-  const spread found = AwaitVersion(mBed, AllBut(cut), 2, written, kInForceMs);
-  const std::string late = SentLate(callers, "desk-2", left, kLeftMs);
+  const version_timing found = AwaitVersion(mBed, AllBut(cut), 2, written, kInForceMs);
+  const std::string late = SentLate(callers, "desk-2", left, kLeaveNoticedMs);
   CheckInTime(found, "others");
   CHECK_TEXT(late.empty(), late.c_str());
 }
@@ -518,19 +521,19 @@
   StartAll();
   steady_callers callers(PlainCallers(mBed, AllBut({})));
   mBed.SetStore("slow", kSlowStoreMs);
-  Pass(kSettleMs);
+  SleepMs(kSettleMs);
   // One after the other, so that they leave at different moments between two reads.
   std::map<std::string, std::int64_t> left;
   for (int number = 0; number < kLeavers; ++number) {
     const std::string id = "leaver-" + std::to_string(number);
     left[id] = Leave(id);
-    Pass(kBetweenLeaversMs);
+    SleepMs(kBetweenLeaversMs);
   }
   const std::int64_t written = WriteSmall(2);
-  const spread found = AwaitVersion(mBed, AllBut({}), 2, written, kInForceMs);
+  const version_timing found = AwaitVersion(mBed, AllBut({}), 2, written, kInForceMs);
   std::string late;
   for (const auto& [id, at] : left) {
-    late += SentLate(callers, id, at, kLeftMs);
+    late += SentLate(callers, id, at, kLeaveNoticedMs);
   }
   CheckInTime(found, "version 2");
   CHECK_TEXT(late.empty(), late.c_str());
@@ -540,13 +543,13 @@
 {
   StartAll();
   steady_callers callers(PlainCallers(mBed, AllBut({})));
-  Pass(kSettleMs);
+  SleepMs(kSettleMs);
   for (std::size_t daemon = 0; daemon < kDaemons; ++daemon) {
     mBed.SetProxy(fleet_bed::StoreLink(daemon), { { "silence", 1 } });
   }
   const std::int64_t written = WriteSmall(2);
   const std::int64_t left = Leave("desk-2");
-  const spread found = AwaitVersion(mBed, AllBut({}), 2, written, kSilencedMs);
+  const version_timing found = AwaitVersion(mBed, AllBut({}), 2, written, kSilencedMs);
   const std::string late = SentLate(callers, "desk-2", left, kSilencedMs);
   CheckInTime(found, "version 2");
   CHECK_TEXT(late.empty(), late.c_str());
@@ -562,20 +565,21 @@
   }
   const std::size_t callersAll = plans.size();
   steady_callers callers(std::move(plans));
-  Pass(kSettleMs);
+  SleepMs(kSettleMs);
   std::set<std::size_t> stopped;
-  for (std::size_t daemon = 0; daemon < kDaemons; daemon += kStopEach) {
+  for (std::size_t daemon = 0; daemon < kDaemons; daemon += kStopEvery) {
     stopped.insert(daemon);
   }
   const std::int64_t written = Write(2, ManyRoutes(2));
   const auto stops = std::async(std::launch::async, [&] {
     for (const std::size_t daemon : stopped) {
       mBed.Daemon(daemon).Signal(SIGTERM);
-      Pass(kBetweenStopsMs);
+      SleepMs(kBetweenStopsMs);
     }
   });
-  const spread first = AwaitVersion(mBed, AllBut(stopped), 2, written, kInForceMs);
-  const spread second = AwaitVersion(mBed, AllBut(stopped), 3, Write(3, ManyRoutes(3)), kInForceMs);
+  const version_timing first = AwaitVersion(mBed, AllBut(stopped), 2, written, kInForceMs);
+  const version_timing second =
+    AwaitVersion(mBed, AllBut(stopped), 3, Write(3, ManyRoutes(3)), kInForceMs);
   stops.wait();
   std::string unended;
   for (const std::size_t daemon : stopped) {
@@ -609,16 +613,16 @@
     tooLong += lasted > kLongestCallMs ? text : "";
   }
   for (const auto& [kind, count] : ends) {
-    Tell(kind + ": " + std::to_string(count));
+    PrintMeasured(kind + ": " + std::to_string(count));
   }
   int unserved = 0;
   for (const auto& [name, count] : served) {
     unserved += count == 0 ? 1 : 0;
   }
-  Tell("requests " + std::to_string(callers.Records().size()) + ", longest " +
-       std::to_string(longest) + " ms, crossing a close " + std::to_string(crossed) +
-       ", cut:" + cutOff);
-  Tell("version 2: " + first.Text() + "; version 3: " + second.Text());
+  PrintMeasured("requests " + std::to_string(callers.Records().size()) + ", longest " +
+                std::to_string(longest) + " ms, crossing a close " + std::to_string(crossed) +
+                ", cut:" + cutOff);
+  PrintMeasured("version 2: " + first.Text() + "; version 3: " + second.Text());
   CHECK_EQUAL(callersAll, served.size());
   CHECK_EQUAL(0, unserved); // Each caller was served once at least.
   CHECK_TEXT(cutOff.empty(), cutOff.c_str());
--- a/tests/unit/member_test.cpp
+++ b/tests/unit/member_test.cpp
@@ -34,7 +34,7 @@
   {
     for (const instant end = mNow + aSpan; mNow < end; mNow += 150ms) {
       for (std::size_t index = 0; index < mTables.size(); ++index) {
-        if (mSilent != index) {
+        if (mSilentIndex != index) {
           const heartbeat beat = mTables[index]->BuildHeartbeat(mNow);
           for (const endpoint& to : beat.mTo) {
             mTables[to.mPort - 1U]->Receive(beat.mData, mNow);
@@ -46,7 +46,7 @@
   }
   std::vector<std::unique_ptr<member_table>> mTables; ///< One for each daemon.
   instant mNow{ 1s };                                 ///< Virtual time.
-  std::size_t mSilent = SIZE_MAX;                     ///< Sends nothing.
+  std::size_t mSilentIndex = SIZE_MAX;                ///< Sends nothing.
 };
 
 } // namespace
@@ -64,7 +64,7 @@
 
 // By heartbeats alone, 295 daemons that started together knew 181 of 294 others after 14 s (their
 // lines in a replay), and here 100 of 294 after 3 s.
-TEST(members, ManyThatStartTogetherKnowAllSoonByAsking)
+TEST(members, ManyDaemonsStartedTogetherFindAllMembersByRequests)
 {
   constexpr std::size_t kMany = 295;
   fake_group group(kMany, 900ms);
@@ -86,7 +86,7 @@
   }
 }
 
-TEST(members, ThoseWithMoreWeightGoBefore)
+TEST(members, MembersWithMoreWeightRankFirst)
 {
   member_info thin;
   thin.mName = "a";
@@ -116,21 +116,21 @@
   fake_group group(8, 900ms);
   group.Run(3s);
   const incarnation_id owner = group.mTables[0]->OwnerOf("cell:a").mIncarnation;
-  group.mSilent = owner.mValue - 1;
+  group.mSilentIndex = owner.mValue - 1;
   group.Run(1500ms);
-  const std::size_t other = group.mSilent == 0 ? 1 : 0;
+  const std::size_t other = group.mSilentIndex == 0 ? 1 : 0;
   CHECK_TRUE(group.mTables[other]->Find(owner) == nullptr);
   CHECK_TRUE(group.mTables[other]->OwnerOf("cell:a").mIncarnation != owner);
 }
 
-TEST(members, AFrozenDaemonThatWakesComesBackAsTheSameRun)
+TEST(members, AFrozenDaemonThatResumesComesBackAsTheSameProcess)
 {
   fake_group group(3, 900ms);
   group.Run(2s);
-  group.mSilent = 2;
+  group.mSilentIndex = 2;
   group.Run(1500ms);
   CHECK_TRUE(group.mTables[0]->Find({ 3 }) == nullptr);
-  group.mSilent = SIZE_MAX;
+  group.mSilentIndex = SIZE_MAX;
   group.Run(600ms);
   CHECK_TRUE(group.mTables[0]->Find({ 3 }) != nullptr);
 }
@@ -143,7 +143,7 @@
   CHECK_TRUE(good.Receive("x", 1s).mJoined.empty());
 }
 
-TEST(members, ANewRunAtTheSameAddressEndsTheEarlierOne)
+TEST(members, ANewProcessAtTheSameAddressEndsTheEarlierOne)
 {
   member_table here({ { 1 }, "a", "h", { "127.0.0.1", 1 } }, {}, "secret");
   member_table before({ { 2 }, "b", "h", { "127.0.0.1", 2 } }, {}, "secret");
@@ -154,7 +154,7 @@
   CHECK_TRUE(here.IsKnownGone({ 2 }));
 }
 
-TEST(members, ASuspectedDaemonOwnsNothingUntilItIsHeardAgain)
+TEST(members, AnUnreachableDaemonOwnsNothingUntilItsNextHeartbeat)
 {
   member_table here({ { 1 }, "a", "h", { "127.0.0.1", 1 } }, {}, "secret");
   member_table there({ { 2 }, "b", "h", { "127.0.0.1", 2 } }, {}, "secret");
--- a/tests/unit/quarantine_link_test.cpp
+++ b/tests/unit/quarantine_link_test.cpp
@@ -16,18 +16,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr request_fingerprint kPoison{ 1001 };
+constexpr request_fingerprint kCrashingRequest{ 1001 };
 /** Time in which daemons that are in contact must know of a third crash. */
-constexpr duration kContact = milliseconds(3000);
+constexpr duration kReportLimit = milliseconds(3000);
 /** Ports of the daemons; each process of tests has its own. */
 constexpr int kFirstPort = 42000;
 constexpr int kPorts = 2000;
-constexpr int kPortsOfOne = 4;
+constexpr int kPortsPerProcess = 4;
 
 std::uint16_t
 PortOfProcess()
 {
-  return static_cast<std::uint16_t>(kFirstPort + (::getpid() * kPortsOfOne) % kPorts);
+  return static_cast<std::uint16_t>(kFirstPort + (::getpid() * kPortsPerProcess) % kPorts);
 }
 
 /** One daemon, without callers. */
@@ -55,14 +55,15 @@
     return settings;
   }
   /** Lets this daemon hear another, and be heard by it. */
-  void Meet(int aOther)
+  void Connect(int aOther)
   {
     mState.mSettings.mSeeds = { AddressOf(aOther) };
     mLink.AddSeeds();
   }
-  bool Kept() const
+  bool IsQuarantined() const
   {
-    return mState.mCrashes.StandingOf(kPoison, mState.Now()) == request_standing::eQuarantined;
+    return mState.mCrashes.StandingOf(kCrashingRequest, mState.Now()) ==
+           request_standing::eQuarantined;
   }
 
   forward_state mState;         ///< Its tables.
@@ -77,80 +78,81 @@
   asio::io_context mIo{ 1 }; ///< Runs all daemons.
 
   /** Runs until something is so. @return whether it was in time. */
-  bool RunUntil(const std::function<bool()>& aSo, duration aWithin)
+  bool RunUntil(const std::function<bool()>& aCondition, duration aWithin)
   {
     const instant until = boot_clock_source{}.Now() + aWithin;
-    while (!aSo() && boot_clock_source{}.Now() < until) {
+    while (!aCondition() && boot_clock_source{}.Now() < until) {
       mIo.run_for(milliseconds(10));
     }
-    return aSo();
+    return aCondition();
   }
-  static void CrashThree(node & aNode)
+  static void ReportThreeCrashes(node & aNode)
   {
     for (std::uint64_t life = 1; life <= kCrashesAllowed; ++life) {
-      aNode.mQuarantines.NoteCrash({ kPoison, { life }, false });
+      aNode.mQuarantines.NoteCrash({ kCrashingRequest, { life }, false });
     }
   }
 };
 
-TEST(quarantine_link, AThirdCrashIsToldToADaemonThatIsHeard)
+TEST(quarantine_link, AThirdCrashIsReportedToAConnectedDaemon)
 {
   node one(mIo, 1);
   node two(mIo, 2);
-  one.Meet(2);
-  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kContact));
-  CrashThree(one);
-  CHECK_TRUE(RunUntil([&] { return two.Kept(); }, kContact));
+  one.Connect(2);
+  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kReportLimit));
+  ReportThreeCrashes(one);
+  CHECK_TRUE(RunUntil([&] { return two.IsQuarantined(); }, kReportLimit));
 }
 
 TEST(quarantine_link, CrashesThatTwoDaemonsSawAreCountedTogether)
 {
   node one(mIo, 1);
   node two(mIo, 2);
-  one.Meet(2);
-  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kContact));
-  one.mQuarantines.NoteCrash({ kPoison, { 1 }, false });
-  two.mQuarantines.NoteCrash({ kPoison, { 2 }, false });
-  one.mQuarantines.NoteCrash({ kPoison, { 3 }, false });
-  CHECK_TRUE(RunUntil([&] { return one.Kept() && two.Kept(); }, kContact));
+  one.Connect(2);
+  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kReportLimit));
+  one.mQuarantines.NoteCrash({ kCrashingRequest, { 1 }, false });
+  two.mQuarantines.NoteCrash({ kCrashingRequest, { 2 }, false });
+  one.mQuarantines.NoteCrash({ kCrashingRequest, { 3 }, false });
+  CHECK_TRUE(RunUntil([&] { return one.IsQuarantined() && two.IsQuarantined(); }, kReportLimit));
 }
 
-TEST(quarantine_link, ADaemonThatWasCutOffIsToldOnceItIsHeardAgain)
+TEST(quarantine_link, ADaemonThatWasCutOffGetsQuarantinesOnceReachable)
 {
   node one(mIo, 1);
   node two(mIo, 2);
-  CrashThree(one);
-  CHECK_TRUE(RunUntil([&] { return one.Kept(); }, kContact));
-  CHECK_FALSE(two.Kept());
-  two.Meet(1);
-  CHECK_TRUE(RunUntil([&] { return two.Kept(); }, kContact));
+  ReportThreeCrashes(one);
+  CHECK_TRUE(RunUntil([&] { return one.IsQuarantined(); }, kReportLimit));
+  CHECK_FALSE(two.IsQuarantined());
+  two.Connect(1);
+  CHECK_TRUE(RunUntil([&] { return two.IsQuarantined(); }, kReportLimit));
 }
 
-TEST(quarantine_link, ANoticeThatWasLostIsMadeGoodByTheNextComparison)
+TEST(quarantine_link, ALostNoticeIsRecoveredByTheNextComparison)
 {
   node one(mIo, 1);
   node two(mIo, 2);
-  one.Meet(2);
-  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kContact));
-  const quarantine_notice untold{ kPoison, request_standing::eQuarantined, duration{ 0 } };
+  one.Connect(2);
+  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kReportLimit));
+  const quarantine_notice untold{ kCrashingRequest, request_standing::eQuarantined, duration{ 0 } };
   one.mState.mCrashes.Take(untold, one.mState.Now());
-  CHECK_TRUE(RunUntil([&] { return two.Kept(); }, kContact));
+  CHECK_TRUE(RunUntil([&] { return two.IsQuarantined(); }, kReportLimit));
 }
 
-TEST(quarantine_link, ARequestThatWasServedElsewhereIsClearWhereCrashesAreCounted)
+TEST(quarantine_link, ARequestServedElsewhereIsClearedWhereCrashesAreCounted)
 {
   node one(mIo, 1);
   node two(mIo, 2);
-  one.Meet(2);
-  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kContact));
-  one.mQuarantines.NoteCrash({ kPoison, { 1 }, false });
-  one.mQuarantines.NoteCrash({ kPoison, { 2 }, false });
-  CHECK_TRUE(RunUntil([&] { return two.mState.mCrashes.CrashesUnder(kPoison) == 2; }, kContact));
-  two.mQuarantines.NoteServed(kPoison);
-  CHECK_TRUE(RunUntil([&] { return one.mState.mCrashes.Empty(); }, kContact));
+  one.Connect(2);
+  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kReportLimit));
+  one.mQuarantines.NoteCrash({ kCrashingRequest, { 1 }, false });
+  one.mQuarantines.NoteCrash({ kCrashingRequest, { 2 }, false });
+  CHECK_TRUE(RunUntil([&] { return two.mState.mCrashes.CrashesUnder(kCrashingRequest) == 2; },
+                      kReportLimit));
+  two.mQuarantines.NoteServed(kCrashingRequest);
+  CHECK_TRUE(RunUntil([&] { return one.mState.mCrashes.Empty(); }, kReportLimit));
 }
 
-TEST(quarantine_link, HundredsOfDaemonsKnowInTimeAlsoThoseThatWereCutOff)
+TEST(quarantine_link, HundredsOfDaemonsLearnInTimeIncludingThoseThatWereCutOff)
 {
   constexpr std::size_t kDaemons = 300;
   constexpr std::size_t kCutOff = 100;
@@ -162,7 +164,7 @@
     std::vector<crash_ledger> daemons(kDaemons);
     std::vector<instant> compares;
     const instant began = seconds(100);
-    const quarantine_notice told{ kPoison, request_standing::eQuarantined, duration{ 0 } };
+    const quarantine_notice told{ kCrashingRequest, request_standing::eQuarantined, duration{ 0 } };
     daemons[0].Take(told, began);
     for (std::size_t i = 0; i < kDaemons; ++i) {
       const bool reached = i < kDaemons - kCutOff && draw() >= kLost;
@@ -172,7 +174,7 @@
       compares.push_back(began + FromSeconds(ToSeconds(kCompareInterval) * 1.5 * draw()));
     }
     // All are in contact from here on. Each compares with one other, drawn from all.
-    for (instant now = began; now < began + kContact; now += milliseconds(10)) {
+    for (instant now = began; now < began + kReportLimit; now += milliseconds(10)) {
       for (std::size_t i = 0; i < kDaemons; ++i) {
         if (now < compares[i]) {
           continue;
@@ -189,7 +191,8 @@
       }
     }
     for (const crash_ledger& daemon : daemons) {
-      CHECK_TRUE(daemon.StandingOf(kPoison, began + kContact) == request_standing::eQuarantined);
+      CHECK_TRUE(daemon.StandingOf(kCrashingRequest, began + kReportLimit) ==
+                 request_standing::eQuarantined);
     }
   }
 }
--- a/tests/unit/store_contact_test.cpp
+++ b/tests/unit/store_contact_test.cpp
@@ -16,11 +16,11 @@
 using std::chrono::milliseconds;
 
 /** Time in which the two hear each other. */
-constexpr duration kHeardWithin = milliseconds(3000);
+constexpr duration kHeardLimit = milliseconds(3000);
 /** Ports of the daemons; each process of tests has its own. */
 constexpr int kFirstPort = 44000;
 constexpr int kPorts = 2000;
-constexpr int kPortsOfOne = 4;
+constexpr int kPortsPerProcess = 4;
 
 std::string
 AddressOf(int aNumber)
@@ -31,7 +31,8 @@
 gateway_settings
 SettingsOf(int aNumber)
 {
-  const auto port = static_cast<std::uint16_t>(kFirstPort + (::getpid() * kPortsOfOne) % kPorts);
+  const auto port =
+    static_cast<std::uint16_t>(kFirstPort + (::getpid() * kPortsPerProcess) % kPorts);
   gateway_settings settings;
   settings.mName = "entry-" + std::to_string(aNumber);
   settings.mHall = "hall-a";
@@ -71,9 +72,9 @@
   asio::io_context mIo{ 1 }; ///< Runs both daemons.
 
   /** Starts both, and waits until the second leaves the store to the first. */
-  void Meet(node & aReader, node & aOther)
+  void WaitUntilRanked(node & aReader, node & aOther)
   {
-    const instant until = boot_clock_source{}.Now() + kHeardWithin;
+    const instant until = boot_clock_source{}.Now() + kHeardLimit;
     aOther.mState.mToldStoreAt = aOther.mState.Now();
     while (aOther.mLink.RankInHall() != 1 && boot_clock_source{}.Now() < until) {
       mIo.run_for(milliseconds(10));
@@ -83,22 +84,22 @@
   }
 };
 
-TEST(store_contact, WhoIsToldLeavesTheStoreToTheReader)
+TEST(store_contact, ADaemonWithRecentReportsDoesNotReadTheStore)
 {
   node reader(mIo, 1);
   node other(mIo, 2);
-  Meet(reader, other);
+  WaitUntilRanked(reader, other);
   other.mState.mToldStoreAt = other.mState.Now();
   CHECK_TRUE(reader.mContact.IsReader());
   CHECK_FALSE(other.mContact.IsReader());
 }
 
 // Daemons that take over in several halls at once tell each other how far the store is.
-TEST(store_contact, WhoHasTakenOverReadsOnThoughAnotherTellsThePosition)
+TEST(store_contact, ADaemonThatTookOverKeepsReadingDespiteReports)
 {
   node reader(mIo, 1);
   node other(mIo, 2);
-  Meet(reader, other);
+  WaitUntilRanked(reader, other);
   test::SuspendFor(kReportLifetime + kTakeOverStep * 2);
   CHECK_TRUE(other.mContact.IsReader()); // Nobody has told it for so long.
   CHECK_TRUE(other.mContact.MustReadRunners());
@@ -109,11 +110,11 @@
   CHECK_FALSE(other.mContact.IsReader());
 }
 
-TEST(store_contact, WhoHasTakenOverAndIsTurnedAwayLeavesTheStoreToOthers)
+TEST(store_contact, ADaemonThatTookOverAndIsRefusedStopsReading)
 {
   node reader(mIo, 1);
   node other(mIo, 2);
-  Meet(reader, other);
+  WaitUntilRanked(reader, other);
   test::SuspendFor(kReportLifetime + kTakeOverStep * 2);
   CHECK_TRUE(other.mContact.MustReadRunners());
   other.mContact.NoteRunnerReadFailed();
--- a/tests/unit/suspension_test.cpp
+++ b/tests/unit/suspension_test.cpp
@@ -21,7 +21,7 @@
 using std::chrono::seconds;
 
 /** What waits notices the end of a suspension within the daemon's shortest tick, and some. */
-constexpr duration kNoticed = milliseconds(500);
+constexpr duration kNoticeLimit = milliseconds(500);
 
 /** A store of terms with one holder; the machine is suspended as its answer is on its way. */
 struct suspending_store : platform::store_client
@@ -73,7 +73,7 @@
     }
   }
   /** Suspends the machine a moment from now. */
-  void SuspendSoon(duration aSpan)
+  void SuspendAfter50Ms(duration aSpan)
   {
     Spawn(mIo, [](duration aFor) -> asio::awaitable<void> {
       co_await Sleep(milliseconds(50));
@@ -82,7 +82,7 @@
   }
 };
 
-TEST(suspension, InstantsCountIt)
+TEST(suspension, TheClockCountsSuspendedTime)
 {
   const instant before = boot_clock_source{}.Now();
   SuspendFor(seconds(7));
@@ -91,15 +91,15 @@
 
 TEST(suspension, ASleepEndsWhenItsTimeIsOver)
 {
-  SuspendSoon(seconds(5));
-  CHECK_TRUE(Run(Sleep(seconds(5))) < kNoticed);
+  SuspendAfter50Ms(seconds(5));
+  CHECK_TRUE(Run(Sleep(seconds(5))) < kNoticeLimit);
 }
 
 TEST(suspension, AWaitForAWakeUpEndsWhenItsTimeIsOver)
 {
   wake_list list(mIo);
-  SuspendSoon(seconds(5));
-  CHECK_TRUE(Run(list.Wait(seconds(5))) < kNoticed);
+  SuspendAfter50Ms(seconds(5));
+  CHECK_TRUE(Run(list.Wait(seconds(5))) < kNoticeLimit);
 }
 
 TEST(suspension, AnAnswerIsAwaitedNoLongerThanItsLimit)
@@ -115,12 +115,12 @@
     const auto head = co_await connection.value()->Start(request, seconds(5));
     why = head ? std::error_code{} : head.error();
   };
-  SuspendSoon(seconds(5));
-  CHECK_TRUE(Run(call()) < kNoticed);
+  SuspendAfter50Ms(seconds(5));
+  CHECK_TRUE(Run(call()) < kNoticeLimit);
   CHECK_TRUE(why == errc::eDeadlinePassed);
 }
 
-TEST(suspension, TheLimitOfAConnectEndsWithIt)
+TEST(suspension, AConnectTimeoutDoesNotLimitLaterCalls)
 {
   tcp::acceptor silent = OpenAcceptor(mIo, { "127.0.0.1", 0 }).value();
   const endpoint at = AddressOf(silent);
@@ -137,7 +137,7 @@
   CHECK_TRUE(took >= milliseconds(400));
 }
 
-TEST(suspension, ASideCallIsAwaitedNoLongerThanItsLimit)
+TEST(suspension, AnHttpCallIsAwaitedNoLongerThanItsLimit)
 {
   tcp::acceptor silent = OpenAcceptor(mIo, { "127.0.0.1", 0 }).value();
   const endpoint at = AddressOf(silent);
@@ -149,8 +149,8 @@
     const auto answer = co_await connection.value()->Call(sent, seconds(5));
     why = answer ? std::error_code{} : answer.error();
   };
-  SuspendSoon(seconds(5));
-  CHECK_TRUE(Run(call()) < kNoticed);
+  SuspendAfter50Ms(seconds(5));
+  CHECK_TRUE(Run(call()) < kNoticeLimit);
   CHECK_TRUE(why == errc::eDeadlinePassed);
 }
 
@@ -218,7 +218,7 @@
   CHECK_TRUE(ledger.StandingOf({ 1 }, clock.Now()) == request_standing::eClear);
 }
 
-TEST(suspension, TheTimeLeftOfARequestIsLessByIt)
+TEST(suspension, SuspensionReducesTheTimeLeftOfARequest)
 {
   forward_state state(mIo, gateway_settings{});
   const instant deadline = state.Now() + seconds(10);
