--- a/src/links/config_follower.h
+++ b/src/links/config_follower.h
@@ -1,7 +1,7 @@
 /**
  * @file config_follower.h
- * Follows the configuration in the store. This is the only place that reads it, one call after the
- * other.
+ * Follows the routing configuration in the store. Only this class reads it, with one call at a
+ * time.
  */
 #pragma once
 
@@ -11,38 +11,38 @@
 
 namespace dunehook {
 
-/** How long the store may hold the answer while the configuration doesn't change. Shorter than 2 s,
- * the shortest time in which a change must be in force: a store may not notice what a read waits
- * for until that is over. */
+/** How long the store may delay its answer while the configuration doesn't change. A store may
+ * notice a new record only at the end of this time, so it is shorter than 2 s, the shortest time in
+ * which a change must be in force. */
 inline constexpr duration kConfigLongPollTime = std::chrono::milliseconds(1200);
-/** A wait is ended after this if another daemon has a newer configuration: it comes by itself
- * mostly. */
+/** A long poll is cancelled when another daemon has had a newer configuration for this long.
+ * Usually the poll brings it by itself before that. */
 inline constexpr duration kBehindTolerance = std::chrono::milliseconds(250);
-/** Rest after a read that brought nothing newer although another daemon told of it, at most: a
- * claim that the store doesn't bear out costs a read a second. */
+/** Longest pause after a read that brought nothing newer although another daemon reported a newer
+ * version. A report that the store doesn't confirm costs one read a second. */
 inline constexpr duration kMaxUnconfirmedReadBackoff = std::chrono::milliseconds(1000);
-/** The answer to a whole read must begin within this: a lost one is asked for again, early enough
- * for 2 s, the shortest time in which a change must be in force. Doubled up to the longest while a
- * store that answers other reads takes longer to begin, as one may that hands a large one to
- * hundreds of daemons. One that says nothing gets no longer time: it may come back while the answer
- * to that read is lost for good. */
+/** The answer to a full read must begin within this time. The read is repeated early enough for a
+ * change to be in force within 2 s, the shortest time allowed. The limit doubles, up to the
+ * maximum, while the store answers other reads but takes longer to begin this one, as it may when
+ * it sends a large configuration to hundreds of daemons. It isn't raised for a store that answers
+ * nothing: the store may come back while the answer to this read is lost for good. */
 inline constexpr duration kInitialReadTimeout = std::chrono::milliseconds(700);
 inline constexpr duration kMaxReadTimeout = std::chrono::milliseconds(6000);
 
-/** Another daemon's answer with a configuration must begin within this, and go on after a pause;
- * then the store is asked. Both together stay within the shortest time in which a change must be in
- * force, 2 s. */
+/** Limits for another daemon to begin its answer with a configuration, and for a pause within it.
+ * After that the store is read. Both together stay below 2 s, the shortest time in which a change
+ * must be in force. */
 inline constexpr duration kPeerResponseTimeout = std::chrono::milliseconds(400);
 inline constexpr duration kPeerIdleTimeout = std::chrono::milliseconds(300);
-/** Daemons that are asked for a configuration before the store is. */
+/** Number of daemons asked for a configuration before the store is read. */
 inline constexpr std::size_t kMaxPeersAsked = 2;
 
-/** The follower. */
+/** Reads the configuration from the store or another daemon and puts it in force. */
 template<control_store Store>
 class config_follower
 {
 public:
-  /** @param aOnConfig called with the limits of a configuration that comes into force. */
+  /** @param aOnConfig called with the caller limits of each configuration that comes into force. */
   config_follower(forward_state& aState,
                   Store& aStore,
                   daemon_link& aLink,
@@ -57,7 +57,8 @@
   {
   }
 
-  /** Reads for as long as the daemon runs. Nothing else does, so no failure may end it. */
+  /** Reads for as long as the daemon runs. No failure may end it, since nothing else reads the
+   * configuration. */
   asio::awaitable<void> Follow()
   {
     for (;;) {
@@ -74,18 +75,18 @@
     }
   }
 
-  /** @return what hands the configuration on to other daemons. */
+  /** @return the object that serves the configuration to other daemons. */
   config_source& Source() { return mSource; }
   /** @return when the configuration came into force. */
   instant InForceSince() const { return mInForceSince; }
-  /** @return how long the whole read under way has taken so far; zero if there's none. */
+  /** @return how long the full read in progress has taken so far; zero if there is none. */
   duration CurrentReadDuration() const
   {
     return mReadStartedAt == instant{ 0 } ? duration{ 0 } : mState.Now() - mReadStartedAt;
   }
 
-  /** Ends the wait for a configuration where another daemon has a newer one: the answer that should
-   * have brought it is lost or late. Call it some times a second. */
+  /** Cancels the long poll if another daemon has a newer configuration: the answer that should have
+   * brought it is lost or late. Call it several times a second. */
   void CancelOverdueLongPoll()
   {
     const instant now = mState.Now();
@@ -100,25 +101,25 @@
       CancelLongPoll();
     }
   }
-  /** Ends a wait for the next configuration, if its answer hasn't begun. */
+  /** Cancels a long poll for the next configuration, unless its answer has begun. */
   void CancelLongPoll()
   {
     if (mLongPolling) {
       CancelCall();
     }
   }
-  /** Ends the wait or the read under way, if its answer hasn't begun, so that it's begun anew. */
+  /** Cancels the long poll or read in progress, unless its answer has begun, so that it is started
+   * again. */
   void CancelCall() { mCancelled = mStore.StopWaiting() || mCancelled; }
 
 private:
-  /**
-   * One call after the other: reads that overlap share the daemon's link, so that each makes the
-   * others longer and all but one are thrown away.
-   */
+  /** Makes the next call, or waits while another daemon reads the store. Calls never overlap:
+   * overlapping reads share the daemon's link, so each slows the others and all but one are
+   * discarded. */
   asio::awaitable<void> Step()
   {
     if (mNextPosition && mNextPosition->mEra < mState.mRunners.End().mEra) {
-      mNextPosition.reset(); // The store came back older: its offsets are given out again.
+      mNextPosition.reset(); // The store came back with older data and reuses these offsets.
     }
     const bool behind = mContact.IsBehind();
     const bool leaves = !behind && (!mContact.IsReader() || mContact.RunnerReadFailed());
@@ -134,7 +135,8 @@
     }
   }
 
-  /** Asks a daemon of the hall that reads the store for others. @param aRank which of them. */
+  /** Asks another daemon of the data hall for a newer configuration.
+   * @param aRank its position among the daemons that read the store first. */
   asio::awaitable<void> AskPeer(std::size_t aRank)
   {
     const std::vector<const member_info*> ranked =
@@ -182,8 +184,9 @@
     co_return reading;
   }
 
-  /** Waits for the configuration after the one in force. What was written while this daemon didn't
-   * ask, or wasn't answered, is asked for without a wait: a store may notice it at the end only. */
+  /** Long-polls the store for the configuration after the one in force. If the last poll wasn't
+   * answered, or this daemon has relied on others since, it asks without a wait: a store may notice
+   * only at the end of the wait that a record was written before it. */
   asio::awaitable<void> LongPollNext(store_mark aNext)
   {
     const instant began = mState.Now();
@@ -195,7 +198,7 @@
     mLongPolling = false;
     mLastPollAnswered = reading.has_value();
     if (!reading && mCancelled) {
-      co_return; // What to read is decided anew.
+      co_return; // Step() decides again what to read.
     }
     const bool forgotten = !reading && reading.error() == errc::eRetentionPassed;
     mContact.NoteAnswer(reading || forgotten, "config");
@@ -210,11 +213,11 @@
     mContact.NoteConfigTimeout(false);
     const bool newer = ApplyReading(reading.value());
     if (waits && !newer && mState.Now() - began < kReportCheckInterval) {
-      co_await Sleep(kReportCheckInterval); // The store didn't hold the answer.
+      co_await Sleep(kReportCheckInterval); // The store answered at once instead of waiting.
     }
   }
 
-  /** Reads the newest configuration whole. */
+  /** Reads the whole newest configuration and puts it in force if it is newer. */
   asio::awaitable<void> ReadNewest()
   {
     const bool behind = mContact.IsBehind();
@@ -246,7 +249,8 @@
     }
   }
 
-  /** Reads the configuration whole, and tells how that went. @param aWhy for the log. */
+  /** Reads the whole configuration and logs the outcome, duration and bytes. @param aWhy reason for
+   * the log. */
   asio::awaitable<result<config_reading>> ReadWhole(std::string_view aWhy)
   {
     const std::uint64_t bytes = mStore.BytesIn();
@@ -270,18 +274,19 @@
     co_return reading;
   }
 
-  /** Puts what was read in force. @return whether it's newer than what was. */
+  /** Puts what was read in force and keeps the position to poll from. @return whether it is newer
+   * than the one in force before. */
   bool ApplyReading(const config_reading& aReading)
   {
     mNextPosition = aReading.mNext;
     if (aReading.mMore) {
-      mNextPosition.reset(); // The newest is read at once, not one version after the other.
+      mNextPosition.reset(); // Read the newest version at once, not one version after the other.
     }
     return aReading.mConfig && PutInForce(aReading);
   }
 
-  /** Puts a configuration in force unless it's older than the one in force. @return whether it is
-   * newer. */
+  /** Puts a configuration in force unless it is as old as the one in force, or older. @return
+   * whether it did. */
   bool PutInForce(const config_reading& aReading)
   {
     const routing_config& config = *aReading.mConfig;
@@ -301,7 +306,8 @@
     return true;
   }
 
-  /** Leaves the store alone for a moment, which gets longer until something newer is read. */
+  /** Pauses calls to the store. The pause doubles each time, up to @p aLongest, until a read
+   * succeeds. */
   asio::awaitable<void> BackOff(duration aLongest)
   {
     const duration rest = mBackoff;
@@ -309,23 +315,24 @@
     co_await Sleep(rest);
   }
 
-  forward_state& mState;       ///< Shared.
-  Store& mStore;               ///< The store.
-  daemon_link& mLink;          ///< Told of the version in force.
-  store_contact& mContact;     ///< What is known of the store.
-  config_source mSource;       ///< Hands the configuration on.
-  std::size_t mPeersAsked = 0; ///< Daemons asked for the version that is behind.
-  std::function<void(const caller_limits&)> mOnConfig; ///< Told of new limits.
-  std::optional<store_mark> mNextPosition;             ///< Where to wait for a configuration.
-  duration mBackoff = kInitialStoreBackoff;            ///< The next rest.
-  duration mReadTimeout = kInitialReadTimeout;         ///< For the next whole read to begin.
-  instant mReadStartedAt{ 0 };                         ///< Begin of the whole read; zero if none.
-  instant mBehindSince{ 0 };                           ///< Another daemon has a newer version.
-  instant mInForceSince{ 0 };                          ///< When the version came into force.
-  bool mLongPolling = false;                           ///< A wait is under way.
+  forward_state& mState;       ///< State shared by the parts of the daemon.
+  Store& mStore;               ///< Holds the configuration.
+  daemon_link& mLink;          ///< Announces the version in force to other daemons.
+  store_contact& mContact;     ///< Whether the store answers, and who reads it.
+  config_source mSource;       ///< Serves the configuration to other daemons.
+  std::size_t mPeersAsked = 0; ///< Daemons asked since the last configuration came into force.
+  std::function<void(const caller_limits&)> mOnConfig; ///< Called with new caller limits.
+  /** Position to long-poll from; empty if a full read is needed. */
+  std::optional<store_mark> mNextPosition;
+  duration mBackoff = kInitialStoreBackoff;    ///< Next pause after a failed or unneeded read.
+  duration mReadTimeout = kInitialReadTimeout; ///< Time for the next full read to begin its answer.
+  instant mReadStartedAt{ 0 }; ///< When the full read in progress started; zero if none.
+  instant mBehindSince{ 0 };   ///< Since when another daemon has a newer version; zero if none has.
+  instant mInForceSince{ 0 };  ///< When the version in force came into force.
+  bool mLongPolling = false;   ///< A long poll is in progress.
   bool mLastPollAnswered =
-    false; ///< LongPollNext() was answered last, and this daemon has asked on since.
-  bool mCancelled = false; ///< The call was ended by this daemon.
+    false; ///< The last long poll was answered, and this daemon has been a reader since.
+  bool mCancelled = false; ///< This daemon cancelled the call in progress.
 };
 
 } // namespace dunehook
--- a/src/links/config_source.h
+++ b/src/links/config_source.h
@@ -1,7 +1,7 @@
 /**
  * @file config_source.h
- * Hands the configuration on to other daemons of the hall, so that one of them reads it from the
- * store. A daemon that isn't served in time reads it itself.
+ * Serves the configuration to other daemons of the data hall, so that only one of them reads it
+ * from the store. A daemon that isn't served in time reads the store itself.
  */
 #pragma once
 
@@ -13,17 +13,18 @@
 
 namespace dunehook {
 
-/** Where a daemon asks another for a configuration, and the heads of the answer. */
+/** Path and query parameter with which a daemon asks another for a configuration newer than the
+ * given version, and the response header with the position in the store after it. */
 inline constexpr std::string_view kConfigPath = "/config";
 inline constexpr std::string_view kAfterParameter = "after";
 inline constexpr std::string_view kNextHeader = "Config-Next";
-/** A daemon hands out one configuration at a time for each so many Mbit/s of its link, so that a
- * large one is through in the time in which the store's answer must begin. */
+/** Link bandwidth for each concurrent transfer, in Mbit/s. It lets a large configuration arrive
+ * within the time in which the store's answer would have to begin. */
 inline constexpr double kMegabitsPerTransfer = 12.0;
-/** A question waits so long for a turn, or for a version that is on its way: the asker has as long
- * left for the store. */
+/** Longest wait of a request for a free transfer slot, or for a version that is about to arrive.
+ * The asker has as much time left to read the store. */
 inline constexpr duration kMaxTurnWait = std::chrono::milliseconds(300);
-/** Time between looks for a turn. */
+/** Time between checks for a free transfer slot or a newer version. */
 inline constexpr duration kTurnCheckInterval = std::chrono::milliseconds(10);
 
 /** @return a position as "era:offset". */
@@ -33,7 +34,7 @@
   return Join(aMark.mEra, ":", aMark.mOffset);
 }
 
-/** @return the position that ToText() wrote, or nothing if it's none. */
+/** @return the position written by ToText(), or nothing if the text is malformed. */
 inline std::optional<store_mark>
 ParseMark(const std::string& aText)
 {
@@ -44,14 +45,16 @@
   return good ? std::optional<store_mark>(mark) : std::nullopt;
 }
 
-/** The configuration in force, as it's handed on. */
+/** The configuration in force, in the form in which it is served. */
 struct served_config
 {
-  std::shared_ptr<const std::string> mText; ///< Null until one is in force.
-  std::optional<store_mark> mNext;          ///< Where to wait for the next in the store, if known.
+  /** Text of the store record; null until a configuration is in force. */
+  std::shared_ptr<const std::string> mText;
+  /** Position in the store from which to poll for the next one, if known. */
+  std::optional<store_mark> mNext;
 };
 
-/** The source. */
+/** Serves the configuration in force, with a limited number of transfers at a time. */
 class config_source
 {
 public:
@@ -63,10 +66,11 @@
   {
   }
 
-  /** Sets what is handed on: the configuration in force. */
+  /** Sets the configuration to serve. */
   void Set(served_config aCopy) { mServed = std::move(aCopy); }
 
-  /** Answers a daemon: 200 with the text, or 503 if it isn't its turn, or there's nothing newer. */
+  /** Answers a daemon's request: 200 with the text; 503 if there is no free slot or nothing newer
+   * within kMaxTurnWait; 404 if the request is malformed. */
   asio::awaitable<void> Answer(exchange_ptr aExchange)
   {
     std::uint64_t after = 0;
@@ -96,10 +100,10 @@
            mActiveTransfers < mMaxTransfers;
   }
 
-  forward_state& mState;            ///< Shared.
-  served_config mServed;            ///< What is handed on.
-  std::size_t mMaxTransfers;        ///< Answers under way at once; at least 1.
-  std::size_t mActiveTransfers = 0; ///< Answers under way.
+  forward_state& mState;            ///< State shared by the parts of the daemon.
+  served_config mServed;            ///< Configuration to serve.
+  std::size_t mMaxTransfers;        ///< Maximum number of concurrent transfers; at least 1.
+  std::size_t mActiveTransfers = 0; ///< Transfers in progress.
 };
 
 } // namespace dunehook
--- a/src/links/daemon_link.cpp
+++ b/src/links/daemon_link.cpp
@@ -1,6 +1,6 @@
 /**
  * @file daemon_link.cpp
- * Sending and taking of datagrams between daemons.
+ * Sends, receives and applies the datagrams between daemons.
  */
 #include "links/daemon_link.h"
 
@@ -10,16 +10,18 @@
 
 namespace {
 
-/** Time between heartbeats, and silence after which a daemon is gone: three are lost, and a rest.
- */
+/** Time between heartbeats, and the silence after which a daemon counts as gone: three lost
+ * heartbeats and a margin. */
 constexpr duration kHeartbeatInterval = std::chrono::milliseconds(500);
 constexpr duration kFailureTimeout = std::chrono::milliseconds(1800);
-/** Bytes a second that a daemon spends on heartbeats; beyond some 15 daemons news is passed on. */
+/** Bandwidth that a daemon spends on heartbeats. With more than about 15 daemons a heartbeat no
+ * longer fits all of them, and news is relayed. */
 constexpr double kHeartbeatBytesPerSecond = 4096.0;
-/** A daemon asks others for all members for so long after its start, with each heartbeat: in a
- * large group heartbeats alone take many times as long to tell of everybody. */
+/** For this long after its start a daemon asks another for the whole member list with each
+ * heartbeat. In a large group heartbeats alone take many times as long to make all members known.
+ */
 constexpr duration kMemberRequestPeriod = std::chrono::seconds(5);
-/** Largest datagram of runs, and of a heartbeat. */
+/** Receive buffer sizes for run messages and for heartbeats, in bytes. */
 constexpr std::size_t kMaxRunDatagramBytes = 65536;
 constexpr std::size_t kMaxHeartbeatDatagramBytes = 4096;
 
@@ -201,8 +203,8 @@
     mState.NoteRunnersChanged(
       mState.mRunners.ApplyChanges(changes, aNow, changes.mAway || mState.mStoreAway));
   }
-  // Daemons that read the store aren't equally far: one that is behind takes back nothing that
-  // another has told, nor does it stand for a read.
+  // Readers of the store may be at different positions. A report from one that is behind neither
+  // moves the known position back nor counts as a recent report.
   store_position& told = mState.mToldStore;
   const bool older = position.mRunners < told.mRunners || position.mConfig < told.mConfig;
   told.mRunners = std::max(told.mRunners, position.mRunners);
--- a/src/links/daemon_link.h
+++ b/src/links/daemon_link.h
@@ -1,7 +1,7 @@
 /**
  * @file daemon_link.h
- * What daemons tell each other, in datagrams: heartbeats of the member table, and runs. All of it
- * is hints; a lost datagram is made good by the next heartbeat or digest.
+ * UDP messages between daemons: heartbeats of the member table, and run messages. They are hints:
+ * whatever a lost datagram contained is repeated by the next heartbeat or digest.
  */
 #pragma once
 
@@ -10,41 +10,42 @@
 
 namespace dunehook {
 
-/** @return where a daemon takes run messages: the port behind that of its heartbeats. */
+/** @return the address at which a daemon receives run messages: the port after that of its
+ * heartbeats. */
 endpoint
 RunEndpointOf(const endpoint& aDaemon);
 
-/** The link of one daemon to all others. */
+/** Sends datagrams to the other daemons and applies the ones received. */
 class daemon_link
 {
 public:
   explicit daemon_link(forward_state& aState);
 
-  /** Opens the sockets: heartbeats at the daemons' port, runs at the one behind it. */
+  /** Opens the sockets: heartbeats at the peer port, run messages at the next port. */
   result<void> Open();
-  /** Starts to send and to take. @param aReady tells whether this daemon takes callers. */
+  /** Starts to send and receive. @param aReady tells whether this daemon accepts calls. */
   void Start(std::function<bool()> aReady);
-  /** Adds the seeds of the settings. */
+  /** Adds the seed hosts of the settings to the member table. */
   void AddSeeds();
-  /** Tells all daemons that are heard. */
+  /** Sends a run message to all known daemons. */
   void Broadcast(run_message aMessage);
-  /** Tells some daemons. @param aTo where they take run messages. */
+  /** Sends a run message to several daemons. @param aTo where they receive run messages. */
   void SendToAll(run_message aMessage, const std::vector<endpoint>& aTo);
-  /** Tells one daemon.  @param aTo where it takes run messages. */
+  /** Sends a run message to one daemon. @param aTo where it receives run messages. */
   void SendTo(run_message aMessage, const endpoint& aTo)
   {
     SendToAll(std::move(aMessage), { aTo });
   }
-  /** @param aTake takes what others tell of quarantines, and where the sender takes answers. */
+  /** @param aTake called with each quarantine message received and the address to answer to. */
   void SetQuarantineHandler(std::function<void(const quarantine_message&, const endpoint&)> aTake)
   {
     mQuarantineHandler = std::move(aTake);
   }
-  /** @return where another daemon takes run messages, drawn from those that are heard. */
+  /** @return where a randomly picked daemon receives run messages; nothing if no other is known. */
   std::optional<endpoint> PickRandomPeer();
-  /** @return how many daemons of this one's hall that take callers come before it. */
+  /** @return how many daemons of this data hall that accept calls rank before this one. */
   std::size_t RankInHall() const { return mMembers.RankInHall(); }
-  /** Drops daemons that fell silent, with the runs that they told of. */
+  /** Removes daemons that fell silent, and the runs that they reported. */
   void DropSilent(instant aNow);
 
   member_table& Members() { return mMembers; }
@@ -54,23 +55,23 @@
   using udp = asio::ip::udp;
 
   asio::awaitable<void> SendHeartbeats();
-  /** Asks another daemon for all members, in the first seconds of this one. */
+  /** Asks another daemon for the whole member list, during the first seconds after the start. */
   void RequestMembers();
   void HandleHeartbeat(std::string_view aData, instant aNow);
   void Apply(const run_message& aMessage, const udp::endpoint& aFrom, instant aNow);
-  /** Notes how far the store is as another daemon tells it. */
+  /** Applies the store position and the runner changes that another daemon reports. */
   void ApplyStorePosition(const run_message& aMessage, instant aNow);
-  /** Applies what a message tells of engines and of finished runs. */
+  /** Applies reports on engines and on finished runs. */
   void ApplyReports(const run_message& aMessage, instant aNow);
 
-  forward_state& mState;        ///< Shared.
-  member_table mMembers;        ///< The other daemons.
-  udp::socket mHeartbeatSocket; ///< Heartbeats.
-  udp::socket mRunSocket;       ///< Run messages.
-  /** Takes what others tell of quarantines. */
+  forward_state& mState;        ///< State shared by the parts of the daemon.
+  member_table mMembers;        ///< This daemon and the others known.
+  udp::socket mHeartbeatSocket; ///< Sends and receives heartbeats.
+  udp::socket mRunSocket;       ///< Sends and receives run messages.
+  /** Called with quarantine messages; may be empty. */
   std::function<void(const quarantine_message&, const endpoint&)> mQuarantineHandler;
-  std::function<bool()> mReady;   ///< Whether this daemon takes callers.
-  instant mFirstHeartbeatAt{ 0 }; ///< When the first heartbeat was sent.
+  std::function<bool()> mReady;   ///< Whether this daemon accepts calls.
+  instant mFirstHeartbeatAt{ 0 }; ///< When the first heartbeat was sent; zero before.
 };
 
 } // namespace dunehook
--- a/src/links/placer_link.cpp
+++ b/src/links/placer_link.cpp
@@ -1,6 +1,6 @@
 /**
  * @file placer_link.cpp
- * Questions for a place, and digests of runs, by datagrams.
+ * Placement requests, replies and digests of runs, sent as datagrams.
  */
 #include "links/placer_link.h"
 
@@ -8,18 +8,18 @@
 
 namespace {
 
-/** Time between digests of the runs that a daemon has; runs last some seconds. */
+/** Time between digests of the runs that this daemon has; runs last several seconds. */
 constexpr duration kDigestInterval = std::chrono::milliseconds(1000);
-/** A daemon without runs says so this many times: one of them arrives. */
+/** Number of empty digests sent in a row, so that at least one arrives. */
 constexpr std::uint32_t kEmptyDigestRepeats = 3;
-/** Largest datagram of a question: a request may have failed at a few engines. */
+/** Receive buffer for a request, which may list several engines that failed it, in bytes. */
 constexpr std::size_t kMaxQuestionDatagramBytes = 4096;
-/** While a question waits, its caller's leave is noticed within this. */
+/** Longest time until a queued request notices that its caller has left. */
 constexpr duration kCallerCheckInterval = std::chrono::milliseconds(30);
-/** An answer to a question that waited may come this much later than asked for. */
+/** A queued request waits this much longer than the announced time for its reply. */
 constexpr duration kReplyTolerance = std::chrono::milliseconds(40);
 
-/** @return where a daemon takes questions: the second port behind that of its heartbeats. */
+/** @return where a daemon receives placement requests: two ports after that of its heartbeats. */
 endpoint
 QuestionEndpointOf(const endpoint& aDaemon)
 {
@@ -134,7 +134,7 @@
   }
   bool ended = false;
   if (answered && open->mReply->mState == place_state::eQueued) {
-    // Who has come back may wait far longer than a new caller, but not in a planned stop.
+    // A returning caller may wait far longer than a new one, except during a planned stop.
     const instant until = asked + open->mReply->mWaitsFor + kReplyTolerance;
     answered = co_await WaitForReply(open, std::min(until, asked + aQuestion.mWait.mNew), aGone);
     while (!answered && mState.Now() < until && !aGone() && !mState.mStopping) {
@@ -146,7 +146,7 @@
   if (mPending[run] == open) {
     mPending.erase(run);
   }
-  if (ended) { // A run that begins late in a stop wouldn't come to its end.
+  if (ended) { // A run that began late in a planned stop wouldn't finish.
     Withdraw(run);
     place_reply none;
     none.mRun = run;
@@ -203,7 +203,7 @@
 {
   const auto found = mPending.find(aReply.mRun);
   if (found == mPending.end() || found->second->mRound != aReply.mRound) {
-    return false; // Too late: another daemon drops what it took with the next digest.
+    return false; // Too late. If another daemon placed it, its place is freed by the next digest.
   }
   found->second->mReply = aReply;
   found->second->mReplyArrived.Notify();
--- a/src/links/quarantine_link.cpp
+++ b/src/links/quarantine_link.cpp
@@ -1,6 +1,6 @@
 /**
  * @file quarantine_link.cpp
- * Telling and comparing of quarantines.
+ * Sends, compares and applies crashes and quarantines.
  */
 #include "links/quarantine_link.h"
 
--- a/src/links/quarantine_link.h
+++ b/src/links/quarantine_link.h
@@ -1,9 +1,9 @@
 /**
  * @file quarantine_link.h
- * What daemons tell each other of requests that crash runners. Crashes go to the daemons that
- * place, which so hear of all; what they conclude goes to everybody at once. Each daemon also
- * compares what it knows with another one now and then, so that a lost datagram, a cut or a
- * standstill leaves no daemon behind for long, in a group of any size.
+ * Exchanges information on requests that crash runners. Crashes are sent to the placers, which
+ * therefore know of all of them; decisions are broadcast at once. Each daemon also compares its
+ * quarantines with a randomly picked one at intervals, so that no daemon stays behind for long
+ * after a lost datagram, a network partition or a stall, however large the group is.
  */
 #pragma once
 
@@ -14,65 +14,66 @@
 
 namespace dunehook {
 
-/** Time between comparisons with another daemon. */
+/** Mean time between comparisons with another daemon. */
 inline constexpr duration kCompareInterval = std::chrono::milliseconds(500);
-/** The same for a daemon that has just started, until another one has told it. */
+/** The same for a daemon that has just started, until it has received the state of another one. */
 inline constexpr duration kInitialCompareInterval = std::chrono::milliseconds(100);
-/** Time between passes over what is to be judged and told. */
+/** Time between passes that judge requests and send what is due. */
 inline constexpr duration kQuarantineInterval = std::chrono::milliseconds(100);
-/** A crash is told again each second for this long: a datagram may be lost, and those that place
- * may just be replaced. */
+/** A crash is sent again each second for this long: a datagram may be lost, or the placers may be
+ * changing at that moment. */
 inline constexpr duration kCrashResendPeriod = std::chrono::milliseconds(3500);
 inline constexpr duration kCrashResendInterval = std::chrono::milliseconds(1000);
-/** Most notices in one datagram. */
+/** Maximum number of quarantine notices in one datagram. */
 inline constexpr std::size_t kMaxNoticesPerDatagram = 64;
-/** Most own crashes that are told again. */
+/** Maximum number of this daemon's own crashes that are sent again. */
 inline constexpr std::size_t kMaxCrashesResent = 64;
 
-/** The link. */
+/** Exchanges crashes and quarantines with the other daemons. */
 class quarantine_link
 {
 public:
   quarantine_link(forward_state& aState, daemon_link& aLink);
 
-  /** Starts to judge, to tell and to compare. */
+  /** Starts to judge requests, to send and to compare. */
   void Start();
-  /** Notes that a request was under way at a runner whose connection broke. */
+  /** Records that a request was running at a runner whose connection broke. */
   void NoteCrash(const crash_report& aReport);
-  /** Notes that a request was served whole. */
+  /** Records that a request was served completely. */
   void NoteServed(request_fingerprint aRequest);
-  /** @return whether what the others knew at this daemon's start is known. */
+  /** @return whether this daemon has received the quarantines that existed when it started. */
   bool IsSynced() const { return mSynced; }
-  /** Notes that it is. */
+  /** Marks these quarantines as received. */
   void MarkSynced() { mSynced = true; }
-  /** @param aAction called with each request that this daemon has put into quarantine. */
+  /** @param aAction called with each request that this daemon puts into quarantine. */
   void OnQuarantined(std::function<void(request_fingerprint)> aAction)
   {
     mOnQuarantined = std::move(aAction);
   }
 
 private:
-  /** A crash that this daemon saw. */
+  /** A crash that this daemon observed. */
   struct own_crash
   {
-    crash_report mReport; ///< The crash.
-    instant mAt{ 0 };     ///< When.
-    instant mSentAt{ 0 }; ///< When it was last told.
+    crash_report mReport; ///< What happened.
+    instant mAt{ 0 };     ///< When it was observed.
+    instant mSentAt{ 0 }; ///< When it was last sent; zero before.
   };
 
   asio::awaitable<void> Tick();
   asio::awaitable<void> Compare();
-  /** Judges what is due, and tells what has changed. */
+  /** Judges the requests that are due and broadcasts changed decisions. */
   void JudgeAndBroadcast();
-  /** Tells crashes of this daemon that are to be told again. */
+  /** Sends the crashes of this daemon that are due to be sent or sent again. */
   void SendCrashes();
   void HandleMessage(const quarantine_message& aMessage, const endpoint& aFrom);
-  /** Answers a daemon that compares. */
+  /** Answers a comparison: sends the quarantines if the digests differ or the asker wants them. */
   void Answer(const quarantine_message& aMessage, const endpoint& aFrom);
 
-  forward_state& mState;                                   ///< Shared.
-  daemon_link& mLink;                                      ///< The other daemons.
-  std::deque<own_crash> mRecentCrashes;                    ///< Told again, oldest first.
+  forward_state& mState;                ///< State shared by the parts of the daemon.
+  daemon_link& mLink;                   ///< Sends messages to the other daemons.
+  std::deque<own_crash> mRecentCrashes; ///< This daemon's crashes to send again, oldest first; at
+                                        ///< most kMaxCrashesResent.
   std::function<void(request_fingerprint)> mOnQuarantined; ///< May be empty.
   bool mSynced = false;                                    ///< See IsSynced().
 };
--- a/src/links/quarantine_store.h
+++ b/src/links/quarantine_store.h
@@ -1,7 +1,7 @@
 /**
  * @file quarantine_store.h
- * Keeps quarantines in the store, for the case that all daemons end: a daemon that starts asks the
- * others first, and reads the store where none of them knows.
+ * Keeps quarantines in the store in case all daemons stop. A daemon that starts asks the others
+ * first, and reads the store if none of them has the quarantines.
  */
 #pragma once
 
@@ -10,16 +10,18 @@
 
 namespace dunehook {
 
-/** A daemon that starts waits so long for an answer of another one before it reads the store. */
+/** After its start a daemon waits this long for another one's quarantines before it reads the
+ * store. */
 inline constexpr duration kPeerSyncWait = std::chrono::milliseconds(1000);
-/** Daemons that start together read the store spread over this. */
+/** Maximum random delay before that read, so that daemons that start together spread their reads.
+ */
 inline constexpr duration kMaxReadJitter = std::chrono::milliseconds(500);
-/** Rest after a call to the store that failed. */
+/** Pause after a failed call to the store. */
 inline constexpr duration kStoreRetryDelay = std::chrono::milliseconds(700);
-/** Quarantines that wait to be written, at most. */
+/** Maximum number of quarantines waiting to be written. */
 inline constexpr std::size_t kMaxUnwritten = 64;
 
-/** The part of quarantines that goes through the store. */
+/** Loads quarantines from the store at the start, and writes new ones to it. */
 template<control_store Store>
 class quarantine_store
 {
@@ -43,7 +45,7 @@
   quarantine_link& Link() { return mLink; }
 
 private:
-  /** @return the time of day in Unix ms. */
+  /** @return the current Unix time in ms. */
   static std::uint64_t WallMs()
   {
     const auto since = std::chrono::system_clock::now().time_since_epoch();
@@ -59,7 +61,7 @@
     }
   }
 
-  /** Learns what was in quarantine before this daemon's start. */
+  /** Reads the quarantines from before this daemon's start, unless another daemon sends them. */
   asio::awaitable<void> LoadRecords()
   {
     co_await Sleep(kPeerSyncWait + FromSeconds(ToSeconds(kMaxReadJitter) * mState.Draw()));
@@ -92,7 +94,7 @@
     mLink.MarkSynced();
   }
 
-  /** Writes what this daemon has put into quarantine, and takes out what has passed. */
+  /** Writes the quarantines of this daemon, and removes expired records. */
   asio::awaitable<void> WriteRecords()
   {
     for (;;) {
@@ -102,7 +104,7 @@
       }
       const quarantine_record record = mUnwritten.front();
       const result<void> written = co_await mStore.WriteQuarantine(record);
-      if (!written) { // It may have been written: once more does no harm.
+      if (!written) { // It may have been written; writing it twice does no harm.
         co_await Sleep(kStoreRetryDelay);
         continue;
       }
@@ -112,18 +114,20 @@
         mExpired.pop_back();
         const result<void> removed = co_await mStore.RemoveQuarantine(passed);
         if (!removed) {
-          mExpired.clear(); // Whoever starts next finds them again.
+          mExpired.clear(); // The next daemon to start finds them again.
         }
       }
     }
   }
 
-  forward_state& mState;                     ///< Shared.
-  Store& mStore;                             ///< Keeps the records.
-  quarantine_link mLink;                     ///< The other daemons.
-  wake_list mWritePending;                   ///< Woken when there's something to write.
-  std::deque<quarantine_record> mUnwritten;  ///< Put into quarantine here; at most kMaxUnwritten.
-  std::vector<request_fingerprint> mExpired; ///< Records whose time was over at the start.
+  forward_state& mState;   ///< State shared by the parts of the daemon.
+  Store& mStore;           ///< Keeps the records.
+  quarantine_link mLink;   ///< Exchanges quarantines with the other daemons.
+  wake_list mWritePending; ///< Woken when there is a record to write.
+  /** Quarantines of this daemon to write; at most kMaxUnwritten. */
+  std::deque<quarantine_record> mUnwritten;
+  /** Records that had expired at the start, to be removed. */
+  std::vector<request_fingerprint> mExpired;
 };
 
 } // namespace dunehook
--- a/src/links/store_contact.h
+++ b/src/links/store_contact.h
@@ -1,7 +1,7 @@
 /**
  * @file store_contact.h
- * What a daemon knows of the store, by its own calls and by what other daemons tell: whether it
- * answers, how far it is, and whether another daemon reads it for this one.
+ * What a daemon knows of the store, from its own calls and from reports of other daemons: whether
+ * it answers, which position it has reached, and whether another daemon reads it for this one.
  */
 #pragma once
 
@@ -12,40 +12,42 @@
 
 namespace dunehook {
 
-/** One daemon of each hall reads the store and tells all how far it is, and what changed. What was
- * told lately stands for a read of one's own: a reader that is silent is passed over within the
- * time in which a leaving runner is still served. */
+/** One daemon of each data hall reads the store and reports its position and the changes to all. A
+ * report this recent replaces a read of one's own. A silent reader is replaced within the time in
+ * which a leaving runner is still served. */
 inline constexpr duration kReportLifetime = std::chrono::milliseconds(1200);
-/** Daemons of a hall that ask the store when nobody tells how far it is, one step after the other.
- * Several, since the store may turn some away; not all, since a store that is away would be called
- * by every daemon. */
+/** Number of daemons of a data hall that may read the store when nobody reports its position; they
+ * take over one after the other. Several, since the store may refuse some of them; not all, since
+ * every daemon would call a store that is down. */
 inline constexpr std::size_t kMaxReaders = 3;
-/** Time between the steps; all together stay below half of the shortest time in which a leaving
- * runner must get no more work. */
+/** Delay between these take-overs. All together stay below half of the shortest time in which a
+ * leaving runner must get no more work. */
 inline constexpr duration kTakeOverStep = std::chrono::milliseconds(150);
-/** A daemon that has taken over reads on for this long, whatever it's told: those that take over in
- * other halls at the same time tell the position as well, and none would read the configuration. */
+/** A daemon that has taken over keeps reading for this long, even if it gets reports: daemons that
+ * take over in other data halls at the same time report the position too, and otherwise none of
+ * them would read the configuration. */
 inline constexpr duration kTakeOverPeriod = std::chrono::milliseconds(3000);
-/** While the askers tell that the store is silent, each other daemon asks it about once in this
- * time: the store may turn away just the askers. */
+/** While the readers report that the store is silent, each other daemon tries it about once in this
+ * time, since the store may refuse only these readers. */
 inline constexpr duration kProbeInterval = std::chrono::milliseconds(4000);
-/** What was told to have changed and hasn't come is read after this: the datagram that has it is
- * lost. */
+/** Runner changes that were reported but haven't arrived are read after this time: the datagram
+ * with them was lost. */
 inline constexpr duration kRunnersBehindTolerance = std::chrono::milliseconds(150);
-/** Changes of runners are told for so long: three datagrams have each. */
+/** Runner changes are repeated for this long, so that each is in three datagrams. */
 inline constexpr duration kChangesResendPeriod = std::chrono::milliseconds(2800);
-/** Most entries in one datagram; with more, each daemon reads them itself. */
+/** Maximum number of changed entries in one datagram. With more changes each daemon reads the store
+ * itself. */
 inline constexpr std::size_t kMaxChangesPerDatagram = 60;
-/** The store counts as away until it has answered for this long: lapsed entries are back by then.
- */
+/** The store counts as recently away until it has answered for this long. By then entries that
+ * lapsed have been written again. */
 inline constexpr duration kStoreRecoveryTime = std::chrono::milliseconds(2500);
-/** Rest after a failed read of the store; doubled up to the longest. */
+/** Pause after a failed read of the store; doubled up to the maximum. */
 inline constexpr duration kInitialStoreBackoff = std::chrono::milliseconds(150);
 inline constexpr duration kMaxStoreBackoff = std::chrono::milliseconds(600);
-/** Time between looks at what was told. */
+/** Time between checks for reports of other daemons. */
 inline constexpr duration kReportCheckInterval = std::chrono::milliseconds(100);
 
-/** The contact of one daemon with the store. */
+/** Decides whether this daemon reads the store, and reports what it read to the others. */
 class store_contact
 {
 public:
@@ -55,17 +57,19 @@
   {
   }
 
-  /** @return whether a configuration and runners are known. */
+  /** @return whether this daemon has a configuration and runners. */
   bool Known() const { return mState.mRoutes && mRunnersKnown; }
-  /** @return whether the last call was answered. */
+  /** @return whether the store answered the last call. */
   bool IsAnswering() const { return mIsAnswering; }
-  /** @return whether the store was away lately, so that entries may have lapsed unasked. Only this
-   * daemon's own calls count: another may be cut off from a store that is well. */
+  /** @return whether the store was recently away, so that entries may have lapsed although their
+   * runners are well. Only this daemon's own calls count: another one may be cut off from a store
+   * that is well. */
   bool WasRecentlyAway() const
   {
     return mLastFailureAt != instant{ 0 } && mState.Now() - mLastFailureAt < kStoreRecoveryTime;
   }
-  /** @return whether this daemon asks the store for what is new. Else others do, and tell. */
+  /** @return whether this daemon reads the store for news. Otherwise other daemons read it and
+   * report. */
   bool IsReader() const
   {
     if (!Known()) {
@@ -73,7 +77,7 @@
     }
     return mLink.RankInHall() == 0 || mState.Now() < mTakeOverUntil || ShouldTakeOver();
   }
-  /** @return the newest version that any daemon has told of. */
+  /** @return the newest configuration version that any daemon has reported. */
   std::uint64_t NewestReportedConfig() const
   {
     return std::max(mState.mToldStore.mConfig, mLink.Members().HighestNextOffset());
@@ -83,7 +87,7 @@
   {
     return mState.mRoutes && NewestReportedConfig() > mState.mRoutes->Config().mVersion;
   }
-  /** @return whether the runners must be read by this daemon itself. Call it before each read. */
+  /** @return whether this daemon must read the runners itself. Call it before each read. */
   bool MustReadRunners()
   {
     const instant now = mState.Now();
@@ -95,12 +99,13 @@
     return mConfigTimedOut || IsReader() ||
            (behind && now - mBehindSince >= kRunnersBehindTolerance);
   }
-  /** @return whether the last read of the runners failed: the store is asked for nothing else. */
+  /** @return whether the last read of the runners failed. Then nothing else is read from the store.
+   */
   bool RunnerReadFailed() const { return mRunnerReadFailed; }
-  /** @return whether a read of the runners by this daemon was answered since an instant. */
+  /** @return whether this daemon had an answered read of the runners since @p aInstant. */
   bool RunnersAnsweredSince(instant aInstant) const { return mRunnersAnsweredAt >= aInstant; }
 
-  /** Notes whether the store answered a call. */
+  /** Records whether the store answered a call. */
   void NoteAnswer(bool aAnswered, std::string_view aCall)
   {
     mState.mMetrics.CountStoreCall(aCall, aAnswered);
@@ -113,11 +118,12 @@
         log_level::eInfo, aAnswered ? "store_regained" : "store_lost", { { "call", aCall } });
     }
   }
-  /** Notes whether a read got no answer in its time: the store may be silent to this daemon. */
+  /** Records whether a read of the configuration timed out: the store may not answer this daemon.
+   */
   void NoteConfigTimeout(bool aInDoubt) { mConfigTimedOut = aInDoubt; }
-  /** Notes an answered read of the runners. What the store says goes before what was told.
-   * @param aFrom position of the list before it.
-   * @param aChanged runners that changed by it. */
+  /** Records an answered read of the runners. What the store says replaces what was reported.
+   * @param aFrom position of the runner table before the read.
+   * @param aChanged runners that the read changed. */
   void NoteRunners(const store_mark& aFrom, const std::vector<service_runner_id>& aChanged)
   {
     const instant now = mState.Now();
@@ -127,8 +133,8 @@
     mState.mListedAt = now;
     mState.mToldStore.mRunners = std::min(mState.mToldStore.mRunners, mState.mRunners.End());
     if (aFrom != mChangesEnd) {
-      // Another daemon told what lies between: it isn't among the changes kept here, and who
-      // applied these would pass it over.
+      // The changes in between came from another daemon's report and aren't in mChanges. A daemon
+      // that applied mChanges would miss them.
       mChanges.clear();
     }
     mChangesEnd = mState.mRunners.End();
@@ -146,13 +152,15 @@
       mChanges.pop_front();
     }
   }
-  /** Notes that the store has come back from an older copy: entries may be missing unasked. */
+  /** Records that the store came back from an older copy, so that entries may be missing although
+   * their runners are well. */
   void NoteStoreRolledBack()
   {
     mLastFailureAt = mState.Now();
     mState.mStoreAway = true;
   }
-  /** Notes that a read of the runners failed, and tells the others if this daemon asks for them. */
+  /** Records that a read of the runners failed, and reports it if this daemon is among the first to
+   * read for others. */
   void NoteRunnerReadFailed()
   {
     mRunnerReadFailed = true;
@@ -165,13 +173,13 @@
       mLink.Broadcast(std::move(message));
     }
   }
-  /** Notes the version that a read of the newest configuration gave. */
+  /** Records the version that a read of the newest configuration returned. */
   void NoteConfig(std::uint64_t aVersion)
   {
     mState.mToldStore.mConfig = std::min(mState.mToldStore.mConfig, aVersion);
   }
-  /** Tells the others how far the store is and what changed of the runners, if this daemon asks it
-   * for them. */
+  /** If this daemon reads for others, reports the store's position and the recent runner changes to
+   * them. */
   void BroadcastPosition()
   {
     if (!Known() || !IsReader()) {
@@ -182,7 +190,7 @@
     message.mRunners = RecentChanges();
     mLink.Broadcast(std::move(message));
   }
-  /** Call it some times a second. */
+  /** Updates what depends on time. Call it several times a second. */
   void Tick()
   {
     mState.mStoreAway = WasRecentlyAway();
@@ -192,7 +200,7 @@
   }
 
 private:
-  /** @return whether this daemon asks since no reader has told how far the store is. */
+  /** @return whether this daemon must read because no reader has reported for too long. */
   bool ShouldTakeOver() const
   {
     const instant now = mState.Now();
@@ -200,7 +208,7 @@
     if (quiet < kReportLifetime) {
       return false;
     }
-    const std::size_t rank = mLink.RankInHall(); // Counts all members.
+    const std::size_t rank = mLink.RankInHall(); // Expensive: it counts all members.
     if (rank == 0) {
       return false;
     }
@@ -210,15 +218,15 @@
     return quiet >=
            kReportLifetime + kTakeOverStep * static_cast<std::int64_t>(std::min(rank, kMaxReaders));
   }
-  /** Changes that one read brought. */
+  /** Runner changes from one read. */
   struct read_changes
   {
     instant mAt{ 0 };                ///< When it was read.
-    store_mark mFrom;                ///< Position of the list before.
-    std::vector<std::string> mNames; ///< Ids of the runners that changed.
+    store_mark mFrom;                ///< Position of the runner table before the read.
+    std::vector<std::string> mNames; ///< Names of the runners that changed.
   };
 
-  /** @return what changed lately, or nothing if that's nothing, or too much for a datagram. */
+  /** @return the recent runner changes; nothing if there are none, or too many for a datagram. */
   std::optional<runner_changes> RecentChanges() const
   {
     if (mChanges.empty()) {
@@ -226,7 +234,7 @@
     }
     runner_changes changes;
     changes.mFrom = mChanges.front().mFrom;
-    changes.mTo = mChangesEnd; // Not the table's position: that may come of what another told.
+    changes.mTo = mChangesEnd; // Not the position of the table, which may come from a report.
     changes.mAway = WasRecentlyAway();
     std::set<std::string> names;
     for (const read_changes& one : mChanges) {
@@ -246,20 +254,24 @@
     return changes;
   }
 
-  forward_state& mState;             ///< Shared.
-  daemon_link& mLink;                ///< What other daemons tell.
-  instant mLastFailureAt{ 0 };       ///< Last failed call; zero if none.
-  instant mRunnersAnsweredAt{ 0 };   ///< When a read of the runners was last answered.
-  instant mBehindSince{ 0 };         ///< Runners changed that weren't told; zero if none.
-  instant mKnownSince{ 0 };          ///< Since when a configuration and runners are known.
-  instant mTakeOverUntil{ 0 };       ///< Reads until then, having taken over.
-  instant mProbeAt{ 0 };             ///< Next call while the store is told to be silent.
-  std::deque<read_changes> mChanges; ///< Of the last seconds, oldest first; without a gap.
-  store_mark mChangesEnd;            ///< Position that mChanges lead to.
-  bool mRunnerReadFailed = false;    ///< The last read of the runners failed.
-  bool mRunnersKnown = false;        ///< A listing with runners was read.
-  bool mIsAnswering = true;          ///< The last call was answered.
-  bool mConfigTimedOut = false; ///< The last read of the configuration got no answer in its time.
+  forward_state& mState; ///< State shared by the parts of the daemon.
+  daemon_link& mLink;    ///< Exchanges reports with the other daemons.
+  /** When a call last failed or the store was found to be rolled back; zero if never. */
+  instant mLastFailureAt{ 0 };
+  instant mRunnersAnsweredAt{ 0 }; ///< When a read of the runners was last answered.
+  /** Since when reported runner changes haven't arrived; zero if none are missing. */
+  instant mBehindSince{ 0 };
+  /** Since when this daemon has a configuration and runners; zero before. */
+  instant mKnownSince{ 0 };
+  instant mTakeOverUntil{ 0 }; ///< Until when this daemon reads after taking over.
+  instant mProbeAt{ 0 };       ///< When to try a store that is reported to be silent.
+  /** Changes of the last kChangesResendPeriod, oldest first, without a gap. */
+  std::deque<read_changes> mChanges;
+  store_mark mChangesEnd;         ///< Position reached by applying mChanges.
+  bool mRunnerReadFailed = false; ///< The last read of the runners failed.
+  bool mRunnersKnown = false;     ///< A non-empty list of runners was read.
+  bool mIsAnswering = true;       ///< The store answered the last call.
+  bool mConfigTimedOut = false;   ///< The last read of the configuration timed out.
 };
 
 } // namespace dunehook
--- a/src/links/store_follower.h
+++ b/src/links/store_follower.h
@@ -8,15 +8,16 @@
 
 namespace dunehook {
 
-/** Time between reads of the runners; half of what a leaving runner is served on for, and less. */
+/** Time between reads of the runners. It is less than half of the time for which a leaving runner
+ * still serves. */
 inline constexpr duration kRunnerReadInterval = std::chrono::milliseconds(900);
 
-/** The follower. */
+/** Reads the runners from the store, and runs the configuration follower. */
 template<control_store Store>
 class store_follower
 {
 public:
-  /** @param aOnConfig called with the limits of a configuration that comes into force. */
+  /** @param aOnConfig called with the caller limits of each configuration that comes into force. */
   store_follower(forward_state& aState,
                  Store& aStore,
                  daemon_link& aLink,
@@ -36,9 +37,9 @@
 
   const store_contact& Contact() const { return mContact; }
   const config_follower<Store>& Config() const { return mConfig; }
-  /** @return what hands the configuration on to other daemons. */
+  /** @return the object that serves the configuration to other daemons. */
   config_source& Source() { return mConfig.Source(); }
-  /** Call it some times a second. */
+  /** Updates what depends on time. Call it several times a second. */
   void Tick()
   {
     mContact.Tick();
@@ -62,7 +63,7 @@
     }
   }
 
-  /** Reads what changed of the runners, or leaves it to those that read for this daemon. */
+  /** Reads the changed runners, or waits while another daemon reads them for this one. */
   asio::awaitable<void> FollowRunnersStep()
   {
     if (!mContact.MustReadRunners()) {
@@ -79,14 +80,15 @@
     }
     if (mContact.RunnerReadFailed()) {
       mBackoff = kInitialStoreBackoff;
-      mConfig.CancelCall(); // It may have been begun while the store was away: its answer is lost.
+      mConfig.CancelCall(); // It may have been started while the store was away, so that its answer
+                            // is lost.
     }
     if (mState.NoteEra(listing.value().mEnd.mEra)) {
       mContact.NoteStoreRolledBack();
-      mConfig.CancelLongPoll(); // It waits at an offset that is given out again.
+      mConfig.CancelLongPoll(); // It waits at an offset that the store assigns again.
     }
-    // Not before the read: what another daemon has told meanwhile isn't among what this one
-    // changes.
+    // Taken after the read: changes that another daemon reported meanwhile aren't among those that
+    // this read makes.
     const store_mark from = mState.mRunners.End();
     const std::vector<service_runner_id> changed =
       mState.mRunners.Apply(listing.value(), mState.Now(), mContact.WasRecentlyAway());
@@ -98,11 +100,12 @@
       co_await Sleep(mContact.IsReader() ? kRunnerReadInterval : kReportCheckInterval);
       co_return;
     }
-    // The first entries, or the first configuration, are still to be written.
+    // The store holds no runners or no configuration yet.
     co_await Sleep(kMaxStoreBackoff);
   }
 
-  /** Leaves the store alone for a moment, which gets longer until there's something to follow. */
+  /** Pauses calls to the store. The pause doubles each time, up to kMaxStoreBackoff, until a read
+   * succeeds. */
   asio::awaitable<void> BackOff()
   {
     const duration rest = mBackoff;
@@ -113,16 +116,16 @@
   asio::awaitable<void> BackOffAfterFailure(std::error_code aError)
   {
     if (aError == errc::eDeadlinePassed || aError == errc::eConnectionLost) {
-      mConfig.CancelLongPoll(); // Its connection may have fallen silent as well.
+      mConfig.CancelLongPoll(); // The connection of the long poll may have fallen silent as well.
     }
     co_await BackOff();
   }
 
-  forward_state& mState;                    ///< Shared.
-  Store& mStore;                            ///< The store.
-  store_contact mContact;                   ///< What is known of the store.
+  forward_state& mState;                    ///< State shared by the parts of the daemon.
+  Store& mStore;                            ///< Holds the runners.
+  store_contact mContact;                   ///< Whether the store answers, and who reads it.
   config_follower<Store> mConfig;           ///< Follows the configuration.
-  duration mBackoff = kInitialStoreBackoff; ///< After the next failed read of the runners.
+  duration mBackoff = kInitialStoreBackoff; ///< Pause after the next failed read of the runners.
 };
 
 } // namespace dunehook
--- a/tests/platform/config_reading_test.cpp
+++ b/tests/platform/config_reading_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file config_reading_test.cpp
- * How daemons come by a new configuration where it is large, links are thin, the store is slow or
- * answers are lost. Real daemons on the stand-in of the platform.
+ * How daemons get a new configuration that is large, over slow links, from a slow store, or when
+ * answers are lost. Uses real daemons and a stand-in for the platform.
  */
 #include "tests/platform/fleet_bed.h"
 
@@ -15,39 +15,38 @@
 
 namespace {
 
-/** Time in which a change must be in force at every daemon, from the store's answer, where links
- * are thin, and elsewhere; ms. */
+/** Time from the store's answer until a change must be in force at every daemon, on slow links and
+ * elsewhere; ms. */
 constexpr int kInForceMs = 3000;
 constexpr int kShortInForceMs = 2000;
-/** How long the store is silent: several reads of 0.7 s and twice as long each; ms. */
+/** How long the store is silent: several reads whose timeout starts at 0.7 s and doubles; ms. */
 constexpr int kSilenceMs = 6500;
-/** Silences after which a wait of 3 s has just begun, and the time until a write; ms. */
+/** Lengths of silences after which a long poll has just begun, and the time until a write; ms. */
 constexpr std::array<int, 2> kSilencesMs{ 5000, 6050 };
 constexpr int kWriteAfterMs = 100;
-/** What a call to a slow store takes more; ms. */
+/** Extra time of each call to a slow store; ms. */
 constexpr int kSlowMs = 450;
-/** Time between two positions that are out of date; ms. */
+/** Time between two outdated position reports; ms. */
 constexpr int kOldReportIntervalMs = 30;
-/** A link that carries 1 MB in 0.25 s, in KB a second. */
+/** Bandwidth of a link that carries 1 MB in 0.25 s; KB/s. */
 constexpr int kFasterLinkKBytesPerS = 5000;
-/** Whole reads of the two versions that a daemon may take in: one each, and one more. */
+/** Full reads that a daemon may receive for two versions: one each and one more. */
 constexpr std::uint64_t kMaxReads = 3;
 /** How long calls to the store are counted; ms. */
 constexpr int kWatchMs = 3000;
-/** Calls that a daemon may make meanwhile for what it can't get: two a second, for the
- * configuration and for the runners each. */
+/** Calls that a daemon may make in this time for what it can't get: two a second each for the
+ * configuration and the runners. */
 constexpr std::uint64_t kMaxCalls = 12;
-/** A version that nobody writes, and the time between two claims of it; ms. */
+/** A version that is never written, and the time between two reports of it; ms. */
 constexpr std::uint64_t kNeverWritten = 99;
 constexpr int kReportIntervalMs = 300;
-/** Until a daemon leaves the store to another: it's told, and the wait that it has begun is over;
- * ms.
- */
+/** Time until a daemon relies on another one to read the store: it receives reports, and its last
+ * long poll has ended; ms. */
 constexpr int kUntilReportsUsedMs = 4000;
-/** A link of 10 Mbit/s, in KB a second. */
+/** Bandwidth of a link of 10 Mbit/s; KB/s. */
 constexpr int kSlowLinkKBytesPerS = 1250;
 
-/** @return a message in which another daemon tells of a version. */
+/** @return a message in which another daemon reports a configuration version. */
 run_message
 PositionReport(std::uint64_t aVersion)
 {
@@ -61,7 +60,8 @@
 
 TEST_GROUP(config_reading)
 {
-  /** Starts a daemon on a fast link and one on a thin one, which hear each other. */
+  /** Starts a daemon on a fast link and one on a slow link, and waits until each has heard the
+   * other and the second relies on reports. */
   void StartTwo()
   {
     mBed.AddRunner("desk-1");
@@ -76,8 +76,8 @@
     mBed.SetProxy(fleet_bed::StoreLink(1), { { "answer_kb_s", kSlowLinkKBytesPerS } });
   }
 
-  /** Writes a large version, and tells the second daemon of it while the first, which would hand it
-   * on, stands still. */
+  /** Writes a large version and reports it to the second daemon while the first, which would serve
+   * it, is stopped. */
   void ReportWithoutPeer()
   {
     mBed.Daemon(0).Signal(SIGSTOP);
@@ -87,20 +87,21 @@
 
   fleet_bed mBed; ///< The deployment.
 
-  /** Starts a daemon that reads the runners and one that is told, and has one more read lately. */
+  /** Starts a daemon that reads the runners and one that relies on its reports, with one recent
+   * change of the runners. */
   void StartReaderAndListener()
   {
     mBed.StartUsual();
     mBed.StartDaemon();
     CHECK(mBed.Daemon(1).WaitForLine("daemon_heard") != "");
-    CHECK_FALSE(
-      Eventually([] { return false; }, kUntilReportsUsedMs)); // The second leaves the store to it.
+    // The second relies on the first to read the store.
+    CHECK_FALSE(Eventually([] { return false; }, kUntilReportsUsedMs));
     mBed.AddRunner("desk-3");
     CHECK(mBed.Daemon(1).WaitForLine("\"runner\":\"desk-3\"") != "");
   }
 
-  /** @return a message of another hall's reader, which was first with what comes next after
-   * StartReaderAndListener(): six entries lie in the store by then. */
+  /** @return a report from a reader in another data hall that read the next change after
+   * StartReaderAndListener() first. The store holds six entries by then. */
   run_message LeaveReport() const
   {
     run_message first;
@@ -118,7 +119,7 @@
   }
 };
 
-// A daemon that the store turns away has the configuration from another one of its hall.
+// A daemon that the store refuses gets the configuration from another daemon of its data hall.
 TEST(config_reading, ADaemonRefusedByTheStoreGetsTheConfigurationFromAnother)
 {
   StartTwo();
@@ -129,7 +130,8 @@
   CHECK(ServesAdded(mBed, 1, 3, kShortInForceMs));
 }
 
-// So it has the runners: one that leaves is known there within half of the time that it has.
+// It gets the runners in the same way: a leaving runner is known there within half of the allowed
+// time.
 TEST(config_reading, ADaemonRefusedByTheStoreLearnsOfLeavingRunnersFromAnother)
 {
   StartTwo();
@@ -140,8 +142,9 @@
   CHECK(mBed.Daemon(1).WaitForLine("\"leaving\":true", kShortInForceMs / 2) != "");
 }
 
-// 295 daemons made 11,313 calls to the store on a calm day of 48 s, 2,576 with the runners handed
-// on; two made some 2 a second for two daemons.
+// Without this, load on the store grows with the number of daemons: 295 daemons made 11,313 calls
+// in 48 s without changes, and 2,576 once runner changes were reported by the readers; two daemons
+// made about 2 calls a second.
 TEST(config_reading, ADaemonThatGetsReportsDoesNotCallTheStore)
 {
   StartTwo();
@@ -156,15 +159,12 @@
   CHECK_EQUAL(bytes, mBed.BytesThrough(fleet_bed::StoreLink(1)));
 }
 
-// Callers of a route that had been added 6 and 8 s before got 404, at daemons on links of 10
-// Mbit/s. In order: a configuration of 4,248 routes was written; the daemons on faster links had it
-// in force and told the others; 18 of 62 daemons then took in all that their links carried for 20
-// to 30 s, failed their readiness, lost runners, and had the next version, one route more, in force
-// up to 26 s after it was written. Cause: a daemon that knew of a newer version began a read of the
-// whole configuration every 250 ms, whether the last one had ended or not. Where one read takes
-// longer, each slows the others, and all but one are thrown away. Evidence: 19 to 34 MB taken in
-// for two versions of 1 MB; a line "config_behind" every 250 ms until the version was there; 0 to
-// 6% of the processor; a store that refused nothing.
+// Callers got 404 for a route added 6 and 8 s before. A daemon that knew of a newer version started
+// a full read every 250 ms even if the last one hadn't ended. When a read takes longer, as for
+// 4,248 routes over 10 Mbit/s, the reads slow each other and all but one are discarded: 18 of 62
+// daemons received 19 to 34 MB for two versions of 1 MB over 20 to 30 s, failed readiness, lost
+// runners, and had the next version in force up to 26 s after it was written. The store refused
+// nothing and the processor was idle (0 to 6%).
 TEST(config_reading, ALargeConfigurationIsInForceInTimeOnAThinLink)
 {
   StartTwo();
@@ -177,7 +177,7 @@
   CHECK(taken < kMaxReads * WholeReadBytes(3));
 }
 
-// A read that is the only one at a time must not hold the next one up when its answer is lost.
+// Only one read runs at a time, so a read whose answer is lost must not block the next one.
 TEST(config_reading, AFullReadIsRepeatedWhenItsAnswerIsLost)
 {
   StartTwo();
@@ -187,8 +187,8 @@
   CHECK(mBed.Daemon(1).WaitForLine("deadline_passed") != "");
 }
 
-// Same cause as above in another place: what another daemon tells was asked of the store again
-// every 100 and every 250 ms, also while the store turned the daemon away or held nothing newer.
+// Reports from other daemons made a daemon call the store again every 100 ms and every 250 ms, even
+// while the store refused it or had nothing newer.
 TEST(config_reading, ADaemonRefusedByTheStoreCallsItSeldom)
 {
   StartTwo();
@@ -216,13 +216,11 @@
   CHECK(ServesAdded(mBed, 1, 2, kInForceMs));
 }
 
-// Callers were served by a configuration that had been replaced 6 s before, after a store that had
-// been silent for some seconds. In order: reads of the configuration got no answer; each was given
-// twice the time of the one before; the store came back while one of them, whose answer was lost
-// for good, had most of 6 s left; a new configuration was written; the read had to end first.
-// Cause: the longer time is meant for a store that takes long to begin, and was given to one that
-// said nothing at all. Evidence: reads that ended as late after 0.7, 1.4, 2.8 and 5.6 s, and reads
-// of the runners that were answered during the last one.
+// After a store had been silent for some seconds, callers were served by a configuration that had
+// been replaced 6 s before. The timeout of full reads doubled with each unanswered read
+// (0.7, 1.4, 2.8, 5.6 s). The store came back during the last one, whose answer was lost, and the
+// new configuration had to wait for its end. The longer timeout is only for a store that answers
+// other reads and is slow to begin this one.
 TEST(config_reading, AfterASilenceADaemonIsNotBehindForLong)
 {
   StartTwo();
@@ -244,8 +242,8 @@
   CHECK(Eventually([&] { return mBed.Readiness() == 200; }, kShortInForceMs));
 }
 
-// A wait that began just before the store came back is lost like those before it: a read of the
-// runners that is answered again ends it.
+// A long poll started just before the store came back is lost like those before it. The next
+// answered read of the runners must cancel it.
 TEST(config_reading, AConfigurationWrittenAsTheStoreComesBackIsInForceInTime)
 {
   mBed.AddRunner("desk-1");
@@ -263,8 +261,8 @@
   }
 }
 
-// Where a store took 350 ms and more for a call, daemons that are told by others took these for
-// silent now and then, and read all of the configuration again though nothing had changed.
+// When store calls took 350 ms or more, daemons that rely on reports at times took the readers for
+// silent, and read the whole configuration again although nothing had changed.
 TEST(config_reading, ASlowStoreCostsNoWholeReadsWhileNothingChanges)
 {
   StartTwo();
@@ -275,8 +273,8 @@
   CHECK_EQUAL(before, mBed.WholeReads());
 }
 
-// Daemons that read the store for others aren't equally far. One that was behind took back what
-// another had just told, and a leaving runner became known after 3.8 s.
+// Readers may be at different positions. A report from one that was behind undid what another had
+// just reported, and a leaving runner became known only after 3.8 s.
 TEST(config_reading, AReportOfAnOlderPositionUndoesNothing)
 {
   StartTwo();
@@ -301,13 +299,11 @@
   CHECK(ServesAdded(mBed, 1, 2, kShortInForceMs));
 }
 
-// Callers were sent to a runner that had said that it leaves, for over 3 s, by 27 of 295 daemons.
-// In order: the reader of one hall read the leave and told all; the reader of another hall was
-// told, was at the new position by that, and told this position in its turn with the changes that
-// it had read itself, which the leave wasn't among; who heard the second one first took the list
-// for up to date. Cause: the changes that were kept had a gap where another's had been taken in.
-// Evidence: the lines of such a daemon go from position 100 to 110 without the runners that changed
-// at 103.
+// 27 of 295 daemons kept sending requests for over 3 s to a runner that had announced that it
+// leaves. The reader of one data hall reported the change. The reader of another received the
+// report, moved to the new position, and then reported this position with only the changes that it
+// had read itself. A daemon that received the second report first skipped the change, for example
+// from position 100 to 110 without that of 103. Changes kept for reports must have no gap.
 TEST(config_reading, ChangesFromAnotherReaderAreNotSkippedInReports)
 {
   StartReaderAndListener();
@@ -317,7 +313,7 @@
   CHECK(mBed.Daemon(1).WaitForLine("\"leaving\":true", kShortInForceMs) != "");
 }
 
-// The same, where the reader is told while it waits for the answer of its own read.
+// The same, when the report arrives while the reader waits for the answer of its own read.
 TEST(config_reading, ChangesReportedDuringAReadAreNotSkipped)
 {
   StartReaderAndListener();
@@ -330,25 +326,26 @@
   CHECK(mBed.Daemon(1).WaitForLine("\"leaving\":true", kShortInForceMs) != "");
 }
 
-// Callers were served by a configuration that had been replaced 2.4 s before. In order: the store
-// turned the readers of two halls away; that of the third waited for the next configuration, and
-// the store answered its wait only when that was over, after 3 s, though the record was there.
-// Cause: the wait was longer than the time in which a change must be in force, and all daemons
-// relied on it. Evidence: a wait from 2.65 to 5.66 s, which brought what had been written at 2.67
-// s; the others were told by that reader every 0.9 s that nothing was new.
+// Callers were served by a configuration that had been replaced 2.4 s before. The store refused the
+// readers of two data halls. It answered the long poll of the third only at its end after 3 s,
+// from 2.65 to 5.66 s, although the record was written at 2.67 s. All daemons relied on this
+// reader, which reported every 0.9 s that nothing was new. A long poll must be shorter than the
+// time in which a change must be in force.
 TEST(config_reading, ALongPollThatMissesARecordEndsInTime)
 {
   StartTwo();
   mBed.SetStore("deaf");
-  CHECK_FALSE(
-    Eventually([] { return false; }, kUntilReportsUsedMs)); // The waits are begun anew by then.
+  // Each daemon has started a new long poll by then.
+  CHECK_FALSE(Eventually([] { return false; }, kUntilReportsUsedMs));
   mBed.PutConfig(2, json::array({ AddedRoute(2) }));
-  CHECK(ServesAdded(mBed, 0, 2, kUntilReportsUsedMs)); // From then on it waits for the next.
+  CHECK(
+    ServesAdded(mBed, 0, 2, kUntilReportsUsedMs)); // From here on it polls for the next version.
   mBed.PutConfig(3, json::array({ AddedRoute(2), AddedRoute(3) }));
   CHECK(ServesAdded(mBed, 0, 3, kShortInForceMs));
 }
 
-// A wait takes its whole time where the store doesn't notice what has been written already.
+// A long poll takes its full time when the store doesn't notice that the record was written before
+// the poll began.
 TEST(config_reading, ADaemonThatTakesOverFindsRecordsWrittenMeanwhile)
 {
   mBed.AddRunner("desk-1");
@@ -359,11 +356,11 @@
   mBed.StartDaemon();
   CHECK(mBed.Daemon(0).WaitForLine("daemon_heard") != "");
   CHECK(mBed.Daemon(1).WaitForLine("daemon_heard") != "");
-  CHECK_FALSE(
-    Eventually([] { return false; }, kUntilReportsUsedMs)); // The second leaves the store to it.
+  // The second relies on the first to read the store.
+  CHECK_FALSE(Eventually([] { return false; }, kUntilReportsUsedMs));
   mBed.SetStore("deaf");
   mBed.SetProxy(fleet_bed::StoreLink(0), { { "refuse", 1 }, { "reset", 1 } });
-  mBed.SendToRuns(PositionReport(1), 1); // The last that it hears of the store.
+  mBed.SendToRuns(PositionReport(1), 1); // The last report that it receives.
   mBed.PutConfig(2, json::array({ AddedRoute(2) }));
   CHECK(ServesAdded(mBed, 1, 2, kShortInForceMs));
   CHECK(ServesAdded(mBed, 0, 2, kUntilReportsUsedMs));
--- a/tests/platform/epoch_test.cpp
+++ b/tests/platform/epoch_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file epoch_test.cpp
- * Runners that begin anew under their id, and a store that comes back older, with real processes:
- * what was known of before is not taken for what is.
+ * Runners that restart under the same id, and a store that comes back with older data, with real
+ * processes. Data from before must not be applied to what exists now.
  */
 #include "platform/store_client.h"
 #include "tests/platform/fleet_bed.h"
@@ -15,11 +15,11 @@
 
 namespace {
 
-/** The latest that a configuration may come into force once the store has it. */
+/** Time from the store's answer until a configuration must be in force; ms. */
 constexpr int kInForceMs = 2000;
-/** An entry that is missing since the store went back is missed by its runner within about this. */
+/** Time within which a runner notices that its entry is missing after the store rolled back; ms. */
 constexpr int kEntriesBackMs = 2000;
-/** @return a message with something of each kind. */
+/** @return a run message with something in each field. */
 run_message
 FullMessage()
 {
@@ -41,8 +41,8 @@
   return message;
 }
 
-/** Requests by which a runner that may be chosen is chosen at least once: of two alike, each is
- * passed over in all of them in one case of a million. */
+/** Number of requests after which an eligible runner has got at least one: with two equal runners,
+ * one of them gets none in one case of a million. */
 constexpr int kRequestsPerCheck = 20;
 
 } // namespace
@@ -52,7 +52,7 @@
   fleet_bed mBed;   ///< The deployment.
   int mRequest = 0; ///< Number of the last request.
 
-  /** @return how many of some requests a runner answers. */
+  /** @return how many of kRequestsPerCheck requests a runner answers. */
   int CountAt(const std::string& aRunner, std::size_t aDaemon = 0)
   {
     int count = 0;
@@ -73,7 +73,7 @@
              .mStatus == 200;
   }
 
-  /** Starts a daemon with runners that tell when they were born. */
+  /** Starts a daemon with runners that report their start time. */
   void StartWithStartTimes()
   {
     mBed.AddRunner("desk-1", { .mBorn = 100 });
@@ -83,7 +83,7 @@
     mBed.StartDaemon();
   }
 
-  /** Waits until the daemon has read what was written so far. */
+  /** Waits until the daemon has read everything written so far. */
   void WaitUntilRead()
   {
     const std::string marker = "marker-" + std::to_string(++mRequest);
@@ -118,7 +118,7 @@
   StartWithStartTimes();
   CHECK_TRUE(Generates());
   mBed.SetRunner("decode-1", { { "free", 0 }, { "retry_after", "60" } });
-  Generates(); // It wants nothing for a minute.
+  Generates(); // It asks for no requests for a minute.
   CHECK_FALSE(Generates());
   mBed.SetRunner("decode-1", { { "free", 100000 }, { "reborn", true } });
   mBed.ListBorn("decode-1", 200);
@@ -132,7 +132,7 @@
   StartWithStartTimes();
   mBed.Rebear("desk-1", 200);
   WaitUntilRead();
-  // An entry of before comes late; it names an address where nobody listens any more.
+  // An entry of the earlier process arrives late, with an address where nothing listens any more.
   mBed.ListRaw("desk-1",
                R"({"service":"desk","address":"127.0.0.250:9","zone":"hall-a","version":"v1",)"
                R"("slots":8,"state":"ready","cold-remaining-ms":0,"sequence":1,"born":100})");
@@ -169,15 +169,15 @@
 {
   StartWithStartTimes();
   mBed.AddRunner("late", { .mService = "tutor", .mRole = "decode", .mBorn = 100 });
-  mBed.List("desk-1", "ready"); // Its newest record; the others stay.
+  mBed.List("desk-1", "ready"); // Makes this its newest record; the other entries stay.
   WaitUntilRead();
-  mBed.LetStoreGoBack({ { "keyed.servers", 100 } }); // None is left.
+  mBed.LetStoreGoBack({ { "keyed.servers", 100 } }); // No entry is left.
   const auto failed = [&] {
     const headers head = CallerHeaders("r" + std::to_string(++mRequest));
     return Call(mBed.Callers(), "GET", "/pages/a", "", head).mStatus != 200;
   };
   CHECK_FALSE(Eventually(failed, kEntriesBackMs));
-  mBed.List("desk-1", "ready"); // It writes itself again.
+  mBed.List("desk-1", "ready"); // The runner writes its entry again.
   CHECK_FALSE(Eventually(failed, 2 * kEntriesBackMs));
 }
 
@@ -199,7 +199,7 @@
   mBed.ListUnreachable("forgotten", { .mService = "none", .mBorn = 100 });
   CHECK_TRUE(mBed.Daemon().WaitForLine("\"runner\":\"forgotten\"") != "");
   mBed.LetStoreGoBack({ { "keyed.servers", 1 } });
-  mBed.AddRunner("desk-2", { .mBorn = 100 }); // Written where the other was.
+  mBed.AddRunner("desk-2", { .mBorn = 100 }); // Gets the offset that the other entry had.
   CHECK_TRUE(mBed.Daemon().WaitForLine("\"runner\":\"desk-2\"", kEntriesBackMs) != "");
   CHECK_TRUE(CountAt("desk-2") > 0);
 }
@@ -210,10 +210,10 @@
   mBed.AddRunner("desk-2", { .mBorn = 100 });
   mBed.List("desk-1", "");
   CHECK_TRUE(mBed.Daemon().WaitForLine("\"listed\":false") != "");
-  mBed.LetStoreGoBack({ { "keyed.servers", 1 } }); // Its entry is there again.
+  mBed.LetStoreGoBack({ { "keyed.servers", 1 } }); // The entry that was removed exists again.
   CHECK_TRUE(mBed.Daemon().WaitForLine("store_went_back") != "");
   LONGS_EQUAL(0, CountAt("desk-1"));
-  mBed.List("desk-1", ""); // What was written is written again.
+  mBed.List("desk-1", ""); // The removal is written again.
   WaitUntilRead();
   LONGS_EQUAL(0, CountAt("desk-1"));
 }
@@ -253,7 +253,8 @@
   for (std::size_t daemon = 0; daemon < kDaemons; ++daemon) {
     CHECK_TRUE(mBed.Daemon(daemon).WaitForLine("daemon_heard") != "");
   }
-  CHECK_FALSE(Eventually([] { return false; }, 1500)); // Until all have told of themselves.
+  CHECK_FALSE(
+    Eventually([] { return false; }, 1500)); // Until all daemons have exchanged heartbeats.
   mBed.ListUnreachable("forgotten", { .mService = "none", .mBorn = 100 });
   for (std::size_t daemon = 0; daemon < kDaemons; ++daemon) {
     CHECK_TRUE(mBed.Daemon(daemon).WaitForLine("\"runner\":\"forgotten\"") != "");
@@ -264,7 +265,8 @@
   for (std::size_t daemon = 0; daemon < kDaemons; ++daemon) {
     CHECK_TRUE(mBed.Daemon(daemon).WaitForLine("\"runner\":\"desk-2\"", kEntriesBackMs) != "");
   }
-  // The configuration and the runners, by one; one more of each where a datagram came late.
+  // One daemon reads the configuration and the runners; one more read of each is allowed for a late
+  // datagram.
   CHECK_TRUE(mBed.WholeReads() - before <= 4);
 }
 
@@ -294,8 +296,8 @@
   for (const json& one : mBed.Seen()) {
     seen += one.value("target", "") == "/pages/a" ? 1 : 0;
   }
-  LONGS_EQUAL(kRequestsPerCheck, seen); // None was sent in the name of another.
-  // A writer that goes on: one line.
+  LONGS_EQUAL(kRequestsPerCheck, seen); // No request was sent under the name of another runner.
+  // Repeated bad entries of one writer are logged once.
   CHECK_TRUE(mBed.Daemon().WaitForLine("\"runner\":\"no-object\"") != "");
   for (int i = 0; i < kRequestsPerCheck; ++i) {
     mBed.ListRaw("no-object", std::to_string(i));
@@ -306,8 +308,8 @@
   CHECK_TRUE(lines.find(one, lines.find(one) + 1) == std::string::npos);
 }
 
-// Of runners that don't tell their birth none was used any more once another writer's entry told
-// one.
+// After a foreign entry reported a start time, runners that don't report one got no requests any
+// more.
 TEST(epochs, AnEntryWithAStartTimeHidesNoRunnersWithoutOne)
 {
   mBed.StartUsual();
@@ -325,7 +327,7 @@
   LONGS_EQUAL(kRequestsPerCheck, served);
 }
 
-// Their ports aren't protected: whatever comes there must end no daemon.
+// The ports of the daemons are unprotected: no received data may end a daemon.
 TEST(epochs, ChangedDatagramsEndNoDaemon)
 {
   constexpr int kDatagrams = 4000;
@@ -340,9 +342,9 @@
     }
     mBed.SendBytes(bytes, static_cast<int>(random() % 3));
   }
-  mBed.SendBytes(std::string(60000, '\x81'), 1); // Arrays in arrays.
+  mBed.SendBytes(std::string(60000, '\x81'), 1); // Deeply nested arrays.
   mBed.SendBytes(std::string(60000, '\x81'), 2);
   CHECK_TRUE(mBed.Daemon().Running());
   LONGS_EQUAL(kRequestsPerCheck, CountAt("desk-1"));
-  CHECK_TRUE(Eventually([&] { return Generates(); })); // What it was told of runs lapses.
+  CHECK_TRUE(Eventually([&] { return Generates(); })); // Reported runs expire.
 }
--- a/tests/platform/many_test.cpp
+++ b/tests/platform/many_test.cpp
@@ -1,7 +1,8 @@
 /**
  * @file many_test.cpp
- * How many daemons in four halls come by new configurations and leaving runners, over thin links, a
- * slow store, silent connections and planned stops. Real daemons on the stand-in of the platform.
+ * How many daemons in four data halls get new configurations and learn of leaving runners, over
+ * slow links, with a slow store, silent connections and planned stops. Uses real daemons and a
+ * stand-in for the platform.
  */
 #include "tests/platform/fleet_bed.h"
 #include "tests/platform/steady_callers.h"
@@ -20,69 +21,73 @@
 
 namespace {
 
-/** Daemons and their halls. With a proxy each, the stand-in and the test they're 42 processes. */
+/** Daemons and data halls. With one proxy for each daemon, the stand-in and the test there are 42
+ * processes. */
 constexpr std::size_t kDaemons = 20;
 constexpr std::size_t kHalls = 4;
-/** Each third daemon, from this one on, is on a fast link, all others are on thin ones: 13 of 20,
- * and the first ones of two halls. */
+/** Every third daemon, starting with this one, has a fast link. The other 13 of 20 have slow ones,
+ * among them the first daemons of two data halls. */
 constexpr std::size_t kFastEvery = 3;
 constexpr std::size_t kFirstFast = 1;
-/** A link of 10 Mbit/s, in KB a second: the machines of docs/incidents/iskedyul-2.md. */
+/** Bandwidth of a link of 10 Mbit/s, as the machines of docs/incidents/iskedyul-2.md have; KB/s. */
 constexpr int kSlowLinkKBytesPerS = 1250;
 
-/** Time in which a change must be in force at every daemon, from the store's answer; ms. From
+/** Time from the store's answer until a change must be in force at every daemon; ms. From
  * docs/incidents/iskedyul-2.md: three seconds after the acknowledgement. */
 constexpr int kInForceMs = 3000;
-/** Time after which a leaving runner is sent nothing, from the store's answer; ms. The daemons aim
- * at half of it: kRunnerReadInterval in src/links/store_follower.h. */
+/** Time from the store's answer after which a leaving runner gets no requests; ms. The daemons aim
+ * at half of it, see kRunnerReadInterval in src/links/store_follower.h. */
 constexpr int kLeaveNoticedMs = 2000;
-/** Time that a reset of all connections excuses, after which the above must hold: both together,
- * for connections that fell silent; ms. A silence counts as a reset. */
+/** Extra time allowed after all connections are reset; a silence counts as a reset. For connections
+ * that fell silent the limits above apply after it; ms. */
 constexpr int kResetMs = 3000;
-/** Limit where connections fell silent right before a change, for versions and runners; ms. */
+/** Limit for versions and runners if connections fell silent right before a change; ms. */
 constexpr int kSilencedMs = kResetMs + kLeaveNoticedMs;
-/** Whole reads that a daemon may take in for two large versions: one each, and one more. */
+/** Full reads that a daemon may receive for two large versions: one each and one more. */
 constexpr std::uint64_t kMaxReads = 3;
 
-/** Large versions one after the other, and the time between them; ms. */
+/** Number of large versions written in a row, and the time between them; ms. */
 constexpr int kVersionsInARow = 8;
 constexpr int kBetweenVersionsMs = 330;
-/** What each call takes more at the slow store; ms. */
+/** Extra time of each call to the slow store; ms. */
 constexpr int kSlowStoreMs = 250;
-/** Runners that leave while the store is slow, and the time between them; ms: it doesn't divide the
- * 0.9 s between two reads of the runners. */
+/** Number of runners that leave while the store is slow, and the time between them; ms. It doesn't
+ * divide the 0.9 s between two reads of the runners. */
 constexpr int kLeavers = 5;
 constexpr int kBetweenLeaversMs = 390;
-/** Time between signals to the daemons that stop; ms. */
+/** Time between the signals that stop daemons; ms. */
 constexpr int kBetweenStopsMs = 300;
-/** Each third daemon is stopped: 7 of 20, the first one of a hall and of all seeds among them. */
+/** Every third daemon is stopped: 7 of 20, among them the first of a data hall and of all seeds. */
 constexpr std::size_t kStopEvery = 3;
-/** Longest time for any request: the limit of a planned stop (grace-s of the bed); ms. */
+/** Longest time of any request: the limit of a planned stop (grace-s of the test deployment); ms.
+ */
 constexpr int kLongestCallMs = 8000;
 
-/** Until every daemon has heard all others; ms. */
+/** Time until every daemon has heard all others; ms. */
 constexpr int kAllHeardMs = 15000;
-/** Until daemons leave the store to another: the wait that they have begun is over after 3 s, see
- * kConfigLongPollTime and kReportLifetime in src/links/store_follower.h; ms. */
+/** Time until daemons rely on others to read the store: the long poll that they have begun is over,
+ * and they receive reports. See kConfigLongPollTime in src/links/config_follower.h and
+ * kReportLifetime in src/links/store_contact.h; ms. */
 constexpr int kUntilReportsUsedMs = 4000;
-/** Time for callers to begin, and for a fault to be felt, before what is tested; ms. */
+/** Time for callers to begin, and for a fault to take effect, before the tested change; ms. */
 constexpr int kSettleMs = 1000;
-/** Time between two looks at one daemon; ms. */
+/** Time between two checks of one daemon; ms. */
 constexpr int kCheckIntervalMs = 50;
-/** Time between two looks at one daemon over all versions: below the limit of its lines; ms. */
+/** Time between two checks of one daemon over all versions: it stays below the rate limit of its
+ * log lines; ms. */
 constexpr int kVersionCheckIntervalMs = 150;
-/** Time over which callers are watched beyond a limit; ms. */
+/** How long callers are observed after a limit; ms. */
 constexpr int kObserveAfterMs = 2000;
-/** A caller's pause between plain requests; ms. */
+/** Pause of a caller between plain requests; ms. */
 constexpr int kPlainPauseMs = 100;
-/** Events of a stream, and the time between them; ms: 4 s a stream, so that one that is taken late
- * in a planned stop ends well before its end. */
+/** Events of a stream, and the time between them; ms. A stream takes 4 s, so that one accepted late
+ * in a planned stop ends well before the end of the stop. */
 constexpr int kEvents = 40;
 constexpr int kEventMs = 100;
-/** Prompt of a stream, tokens. */
+/** Prompt length of a stream, in tokens. */
 constexpr int kPrompt = 1000;
 
-/** Lets time pass in which nothing is waited for. */
+/** Sleeps without a condition to wait for. */
 void
 SleepMs(int aMs)
 {
@@ -101,7 +106,8 @@
   return aDaemon % kFastEvery != kFirstFast;
 }
 
-/** @return the daemon of a hall whose name is the first: it reads the store for the others. */
+/** @return the daemon whose name sorts first in its data hall: it reads the store for the others.
+ */
 std::size_t
 FirstOfHall(std::size_t aHall)
 {
@@ -124,7 +130,7 @@
   return in;
 }
 
-/** @return plain callers of repeatable requests at these daemons. */
+/** @return callers that send repeatable plain requests to these daemons. */
 std::vector<caller_plan>
 PlainCallers(const fleet_bed& aBed, const std::vector<std::size_t>& aDaemons)
 {
@@ -142,7 +148,7 @@
   return plans;
 }
 
-/** @return callers of requests that run once at most, and of streams, at all daemons. */
+/** @return callers that send non-repeatable requests and streams to all daemons. */
 std::vector<caller_plan>
 OtherCallers(const fleet_bed& aBed)
 {
@@ -168,10 +174,10 @@
   return plans;
 }
 
-/** How daemons came by a version. */
+/** When daemons had a version in force. */
 struct version_timing
 {
-  std::vector<std::size_t> mLate; ///< Daemons that hadn't it in time.
+  std::vector<std::size_t> mLate; ///< Daemons that didn't have it in time.
   std::int64_t mLastMs = 0;       ///< When the last of the others had it.
   std::string Text() const
   {
@@ -183,7 +189,8 @@
   }
 };
 
-/** Waits until daemons serve the route that only a version has, each watched by itself. */
+/** Waits until daemons serve the route that only this version has. Each daemon is checked
+ * separately. */
 version_timing
 AwaitVersion(const fleet_bed& aBed,
              const std::vector<std::size_t>& aDaemons,
@@ -202,7 +209,8 @@
           return std::int64_t{ -1 };
         }
         if (Call(aBed.Callers(daemon), "GET", AddedPath(aVersion), "", sent).mStatus == 200) {
-          return now - aWrittenAt; // Sent then, and so in force by then or right after.
+          // The request was sent at this time, so the version was in force by then or right after.
+          return now - aWrittenAt;
         }
         SleepMs(kCheckIntervalMs);
       }
@@ -219,7 +227,8 @@
   return found;
 }
 
-/** Versions that a daemon puts in force, by its lines. @return whether they only rise. */
+/** Checks the versions that a daemon put in force, by its log. @return whether they only increase.
+ */
 bool
 OnlyRises(const std::string& aOutput)
 {
@@ -239,10 +248,8 @@
   return last > 0;
 }
 
-/**
- * Looks again and again which version a daemon serves, until told to stop.
- * @return "" if no version was ever served after a newer one; what was seen if one was.
- */
+/** Checks repeatedly which version a daemon serves, until told to stop.
+ * @return "" if no version was served after a newer one; otherwise what was seen. */
 std::string
 WatchVersions(const std::string& aAddress, int aFirst, int aLast, const std::atomic<bool>& aStop)
 {
@@ -257,8 +264,8 @@
         found = true;
       }
     }
-    // One look may miss a version that comes into force between its calls; two can't while the
-    // versions come more slowly than one for each look.
+    // One check may miss a version that comes into force between its calls. Two in a row can't, as
+    // versions come more slowly than checks.
     missed = found || at == 0 ? 0 : missed + 1;
     for (int version = aFirst; missed > 1 && version < at; ++version) {
       if (Call(aAddress, "GET", AddedPath(version), "", sent).mStatus == 200) {
@@ -332,31 +339,30 @@
     }
   }
 
-  /** Writes a version. @return when the store had it. */
+  /** Writes a version. @return when the store acknowledged it. */
   std::int64_t Write(int aVersion, const json& aRoutes)
   {
     mBed.PutConfig(static_cast<std::uint64_t>(aVersion), aRoutes);
     return NowMs();
   }
 
-  /** Writes a version of one route more. */
+  /** Writes a version with one more route. */
   std::int64_t WriteSmall(int aVersion)
   {
     return Write(aVersion, json::array({ AddedRoute(aVersion) }));
   }
 
-  /** A runner says that it leaves. @return when the store had it. */
+  /** Lists a runner as leaving. @return when the store acknowledged it. */
   std::int64_t Leave(const std::string& aRunner)
   {
     mBed.List(aRunner, "draining");
     return NowMs();
   }
 
-  /**
-   * Lets callers go on until well beyond the limit, and looks for what a runner that left was sent.
-   * @param aLeftAt when the store had it. @param aOut daemons that don't count.
-   * @return "" or the first such request.
-   */
+  /** Lets callers continue until well after the limit, and looks for requests sent to a runner that
+   * left.
+   * @param aLeftAt when the store acknowledged it. @param aOut daemons that are ignored.
+   * @return "" or the first such request. */
   std::string SentLate(steady_callers & aCallers,
                        const std::string& aRunner,
                        std::int64_t aLeftAt,
@@ -383,7 +389,7 @@
         late = id + " after " + std::to_string(after) + " ms";
       }
     }
-    CHECK(before > 0); // It had work before, so that what follows tells something.
+    CHECK(before > 0); // It had requests before, so that their absence means something.
     PrintMeasured(aRunner + ": last sent after " + std::to_string(last) + " ms");
     return late;
   }
@@ -394,7 +400,7 @@
     CHECK_TEXT(aFound.mLate.empty(), (aWhat + ": " + aFound.Text()).c_str());
   }
 
-  /** Prints what a test has measured. */
+  /** Prints measured values. */
   void PrintMeasured(const std::string& aText)
   {
     UT_PRINT(aText.c_str());
@@ -416,7 +422,7 @@
   PrintMeasured("version 2: " + first.Text());
   const version_timing second =
     AwaitVersion(mBed, AllBut({}), 3, Write(3, ManyRoutes(3)), kInForceMs);
-  SleepMs(kObserveAfterMs); // Reads that are under way are taken in too.
+  SleepMs(kObserveAfterMs); // Include reads that are still in progress.
   std::uint64_t most = 0;
   std::string tooMuch;
   for (std::size_t daemon = 0; daemon < kDaemons; ++daemon) {
@@ -459,7 +465,7 @@
     written = Write(version, versions.at(static_cast<std::size_t>(version - kFirst)));
   }
   const version_timing found = AwaitVersion(mBed, AllBut({}), kLast, written, kInForceMs);
-  SleepMs(kObserveAfterMs); // An older one that comes late would be seen.
+  SleepMs(kObserveAfterMs); // A late switch back to an older version would be seen in this time.
   stop = true;
   std::string back;
   for (std::size_t daemon = 0; daemon < kDaemons; ++daemon) {
@@ -522,7 +528,7 @@
   steady_callers callers(PlainCallers(mBed, AllBut({})));
   mBed.SetStore("slow", kSlowStoreMs);
   SleepMs(kSettleMs);
-  // One after the other, so that they leave at different moments between two reads.
+  // One after the other, so that they leave at different times between two reads.
   std::map<std::string, std::int64_t> left;
   for (int number = 0; number < kLeavers; ++number) {
     const std::string id = "leaver-" + std::to_string(number);
@@ -594,7 +600,7 @@
   }
   std::map<std::string, int> served;
   std::int64_t longest = 0;
-  std::map<std::string, int> ends; // By kind of request and status.
+  std::map<std::string, int> ends; // Number of requests by kind and status.
   int crossed = 0;
   std::string cutOff;
   std::string tooLong;
@@ -624,7 +630,7 @@
                 ", cut:" + cutOff);
   PrintMeasured("version 2: " + first.Text() + "; version 3: " + second.Text());
   CHECK_EQUAL(callersAll, served.size());
-  CHECK_EQUAL(0, unserved); // Each caller was served once at least.
+  CHECK_EQUAL(0, unserved); // Every caller was served at least once.
   CHECK_TEXT(cutOff.empty(), cutOff.c_str());
   CHECK_TEXT(tooLong.empty(), tooLong.c_str());
   CHECK_TEXT(unended.empty(), unended.c_str());
--- a/tests/unit/quarantine_link_test.cpp
+++ b/tests/unit/quarantine_link_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file quarantine_link_test.cpp
- * What daemons tell each other of requests that crash runners: two daemons' links on loopback, and
- * the same telling and comparing among hundreds of ledgers in virtual time.
+ * Exchange of information on requests that crash runners: two daemons on loopback, and the same
+ * exchange between hundreds of crash ledgers in virtual time.
  */
 #include "links/quarantine_link.h"
 
@@ -17,9 +17,9 @@
 using std::chrono::seconds;
 
 constexpr request_fingerprint kCrashingRequest{ 1001 };
-/** Time in which daemons that are in contact must know of a third crash. */
+/** Time within which connected daemons must know of a third crash. */
 constexpr duration kReportLimit = milliseconds(3000);
-/** Ports of the daemons; each process of tests has its own. */
+/** Port range of the daemons; each test process uses its own ports. */
 constexpr int kFirstPort = 42000;
 constexpr int kPorts = 2000;
 constexpr int kPortsPerProcess = 4;
@@ -30,7 +30,7 @@
   return static_cast<std::uint16_t>(kFirstPort + (::getpid() * kPortsPerProcess) % kPorts);
 }
 
-/** One daemon, without callers. */
+/** A daemon without callers. */
 struct node
 {
   node(asio::io_context& aIo, int aNumber)
@@ -54,7 +54,7 @@
     settings.mPeers = { AddressOf(aNumber), PortOfProcess() };
     return settings;
   }
-  /** Lets this daemon hear another, and be heard by it. */
+  /** Makes this daemon and another one exchange heartbeats. */
   void Connect(int aOther)
   {
     mState.mSettings.mSeeds = { AddressOf(aOther) };
@@ -66,8 +66,8 @@
            request_standing::eQuarantined;
   }
 
-  forward_state mState;         ///< Its tables.
-  daemon_link mLink;            ///< To the other.
+  forward_state mState;         ///< State of the daemon.
+  daemon_link mLink;            ///< Messages to the other daemon.
   quarantine_link mQuarantines; ///< Under test.
 };
 
@@ -77,7 +77,7 @@
 {
   asio::io_context mIo{ 1 }; ///< Runs all daemons.
 
-  /** Runs until something is so. @return whether it was in time. */
+  /** Runs the daemons until a condition holds. @return whether it did in time. */
   bool RunUntil(const std::function<bool()>& aCondition, duration aWithin)
   {
     const instant until = boot_clock_source{}.Now() + aWithin;
@@ -173,7 +173,8 @@
       }
       compares.push_back(began + FromSeconds(ToSeconds(kCompareInterval) * 1.5 * draw()));
     }
-    // All are in contact from here on. Each compares with one other, drawn from all.
+    // From here on all daemons can reach each other. Each compares with one other, picked at
+    // random.
     for (instant now = began; now < began + kReportLimit; now += milliseconds(10)) {
       for (std::size_t i = 0; i < kDaemons; ++i) {
         if (now < compares[i]) {
--- a/tests/unit/store_contact_test.cpp
+++ b/tests/unit/store_contact_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file store_contact_test.cpp
- * Which daemons read the store: two daemons of a hall that hear each other on loopback.
+ * Which daemons read the store: two daemons of a data hall that exchange heartbeats on loopback.
  */
 #include "links/store_contact.h"
 #include "tests/support/fake_boot_time.h"
@@ -15,9 +15,9 @@
 
 using std::chrono::milliseconds;
 
-/** Time in which the two hear each other. */
+/** Time within which the two daemons must know each other. */
 constexpr duration kHeardLimit = milliseconds(3000);
-/** Ports of the daemons; each process of tests has its own. */
+/** Port range of the daemons; each test process uses its own ports. */
 constexpr int kFirstPort = 44000;
 constexpr int kPorts = 2000;
 constexpr int kPortsPerProcess = 4;
@@ -41,7 +41,7 @@
   return settings;
 }
 
-/** One daemon that knows a configuration and a runner. */
+/** A daemon with a configuration and a runner. */
 struct node
 {
   node(asio::io_context& aIo, int aNumber)
@@ -60,8 +60,8 @@
     mContact.Tick();
   }
 
-  forward_state mState;   ///< Its tables.
-  daemon_link mLink;      ///< To the other.
+  forward_state mState;   ///< State of the daemon.
+  daemon_link mLink;      ///< Messages to the other daemon.
   store_contact mContact; ///< Under test.
 };
 
@@ -71,7 +71,8 @@
 {
   asio::io_context mIo{ 1 }; ///< Runs both daemons.
 
-  /** Starts both, and waits until the second leaves the store to the first. */
+  /** Waits until the second daemon has heard the first and ranks after it, so that it leaves
+   * reading to the first. */
   void WaitUntilRanked(node & aReader, node & aOther)
   {
     const instant until = boot_clock_source{}.Now() + kHeardLimit;
@@ -94,14 +95,15 @@
   CHECK_FALSE(other.mContact.IsReader());
 }
 
-// Daemons that take over in several halls at once tell each other how far the store is.
+// Daemons that take over in several data halls at once receive each other's reports. If these made
+// them stop reading, none would read the configuration.
 TEST(store_contact, ADaemonThatTookOverKeepsReadingDespiteReports)
 {
   node reader(mIo, 1);
   node other(mIo, 2);
   WaitUntilRanked(reader, other);
   test::SuspendFor(kReportLifetime + kTakeOverStep * 2);
-  CHECK_TRUE(other.mContact.IsReader()); // Nobody has told it for so long.
+  CHECK_TRUE(other.mContact.IsReader()); // No report has come for too long.
   CHECK_TRUE(other.mContact.MustReadRunners());
   other.mState.mToldStoreAt = other.mState.Now();
   CHECK_TRUE(other.mContact.IsReader());
--- a/tests/unit/suspension_test.cpp
+++ b/tests/unit/suspension_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file suspension_test.cpp
- * Time in which the machine is suspended counts for leases, budgets and time limits.
+ * Time during which the machine is suspended counts for leases, budgets and timeouts.
  */
 #include "membership/member_base.h"
 #include "placement/retry_budget.h"
@@ -20,10 +20,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** What waits notices the end of a suspension within the daemon's shortest tick, and some. */
+/** Time within which a waiting operation must notice the end of a suspension: the shortest tick of
+ * the daemon and a margin. */
 constexpr duration kNoticeLimit = milliseconds(500);
 
-/** A store of terms with one holder; the machine is suspended as its answer is on its way. */
+/** A store with one term holder; the machine is suspended while its answer is on its way. */
 struct suspending_store : platform::store_client
 {
   suspending_store()
@@ -36,10 +37,10 @@
     mTerm = { aAt + 1, aHolder };
     co_return mTerm;
   }
-  term_record mTerm; ///< The newest.
+  term_record mTerm; ///< Latest term.
 };
 
-/** The platform's wire, on a machine that is suspended while an order is made ready. */
+/** The wire protocol of the platform, on a machine that is suspended while an order is prepared. */
 struct suspending_wire : platform::wire
 {
   static http_call OrderCall(const role_order& aOrder)
@@ -47,16 +48,17 @@
     SuspendFor(sSpan);
     return platform::wire::OrderCall(aOrder);
   }
-  static inline duration sSpan{ 0 }; ///< How long.
+  static inline duration sSpan{ 0 }; ///< How long the machine is suspended.
 };
 
 } // namespace
 
 TEST_GROUP(suspension)
 {
-  asio::io_context mIo{ 1 }; ///< Runs everything.
+  asio::io_context mIo{ 1 }; ///< Runs all coroutines of the test.
 
-  /** Runs a coroutine beside a tick like the daemon's. @return the real time that it took. */
+  /** Runs a coroutine beside a periodic tick as in the daemon. @return the real time that it took.
+   */
   duration Run(asio::awaitable<void> aTask)
   {
     const auto began = std::chrono::steady_clock::now();
@@ -72,7 +74,7 @@
       co_await Sleep(milliseconds(15));
     }
   }
-  /** Suspends the machine a moment from now. */
+  /** Suspends the machine 50 ms from now. */
   void SuspendAfter50Ms(duration aSpan)
   {
     Spawn(mIo, [](duration aFor) -> asio::awaitable<void> {
@@ -168,7 +170,8 @@
     entry.mName = "engine-" + std::to_string(i);
     entry.mService = "tutor";
     entry.mAddress = AddressOf(engine);
-    entry.mRole = engine_role::eDecode; // All generate: some are to read.
+    entry.mRole = engine_role::eDecode; // All engines generate, so that the controller wants some
+                                        // of them to prefill.
     entries.push_back(entry);
   }
   state.mRunners.Apply({ entries, { 1, 1 }, false }, state.Now(), false);
@@ -188,7 +191,7 @@
   const auto order = [&](duration aSuspended) -> asio::awaitable<void> {
     suspending_wire::sSpan = aSuspended;
     for (int round = 0; round < 6; ++round) {
-      SuspendFor(seconds(3)); // Until changes that were wanted for a while are due.
+      SuspendFor(seconds(3)); // Changes that must be wanted for a while become due.
       role_peers peers;
       peers.mFirst = true;
       co_await controller.Tick(std::move(peers));
@@ -206,7 +209,8 @@
   while (!done) {
     mIo.run_one();
   }
-  CHECK_TRUE(orders > 0); // The check above isn't empty.
+  // Without a suspension orders are sent, so the check above can fail.
+  CHECK_TRUE(orders > 0);
 }
 
 TEST(suspension, AQuarantineEndsAfterItsTime)
