--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -1,6 +1,6 @@
 /**
  * @file member.cpp
- * Heartbeats and failure detection.
+ * Builds and applies heartbeats, and detects failed members.
  */
 #include "membership/member_base.h"
 
@@ -18,14 +18,16 @@
 using json = nlohmann::json;
 
 constexpr std::size_t kSignatureBytes = 8;
-constexpr std::size_t kEntryBytes = 56;     ///< About the size of one member in a datagram.
-constexpr std::size_t kUdpHeaderBytes = 28; ///< IP and UDP headers of a datagram.
-/** Others for each further multiple of the silence limit; see SilenceTimeout(). */
+constexpr std::size_t kEntryBytes = 56;     ///< Approximate size of one member in a datagram.
+constexpr std::size_t kUdpHeaderBytes = 28; ///< Size of the IP and UDP headers of a datagram.
+/** Members beyond kMaxDirectReceivers for which SilenceTimeout() grows by one more mFailAfter. */
 constexpr double kMembersPerExtraTimeout = 4.0;
-constexpr std::size_t kMaxDatagramBytes = 1400; ///< Fits one frame.
-/** Members in a datagram that tells of all: with names of 25 characters they fit one frame. */
+constexpr std::size_t kMaxDatagramBytes = 1400; ///< Fits into one Ethernet frame.
+/** Members in each datagram of a full member list. With names of 25 characters they fit into one
+ * Ethernet frame. */
 constexpr std::size_t kMembersPerDatagram = 16;
-constexpr std::size_t kMaxDirectReceivers = 8; ///< Others up to which a heartbeat goes to all.
+/** Up to this many other members a heartbeat is sent to all of them. */
+constexpr std::size_t kMaxDirectReceivers = 8;
 
 json
 Encode(const member_info& aInfo)
@@ -57,7 +59,8 @@
   return info;
 }
 
-/** Keyed digest of a datagram. It keeps strays and mistakes out; see docs/OPERATIONS.md. */
+/** Computes the keyed digest of a datagram. It rejects stray datagrams and mistakes; see
+ * docs/OPERATIONS.md. */
 std::string
 Sign(std::string_view aData, std::string_view aSecret)
 {
@@ -95,7 +98,8 @@
   for (auto& [incarnation, entry] : mOthers) {
     entries.push_back(&entry);
   }
-  // Entries with news since they were last told first; of those the ones told least recently.
+  // Entries with news since they were last sent come first, in order of the time when they were
+  // last sent.
   std::stable_sort(entries.begin(), entries.end(), [](const auto* aOne, const auto* aTwo) {
     const bool oneOld = aOne->mLastSentAt > aOne->mLastHeardAt;
     const bool twoOld = aTwo->mLastSentAt > aTwo->mLastHeardAt;
@@ -163,7 +167,8 @@
     beat.mTo.push_back(entry.mInfo.mAddress);
   }
   std::shuffle(beat.mTo.begin(), beat.mTo.end(), mRandom);
-  // A small group hears every daemon at first hand; a large one by way of others.
+  // In a small group every daemon gets heartbeats from each other one. In a large group news is
+  // relayed.
   const std::size_t receivers =
     beat.mTo.size() <= kMaxDirectReceivers ? beat.mTo.size() : mSettings.mFanout;
   beat.mTo.resize(receivers);
@@ -235,7 +240,7 @@
       if (!Update(info, aNow, changes)) {
         continue;
       }
-      // A new run at the same address: the earlier run has ended.
+      // A new process at the same address: the earlier one has ended.
       for (auto& [incarnation, entry] : mOthers) {
         if (incarnation != info.mIncarnation && entry.mInfo.mAddress == info.mAddress) {
           changes.mGone.push_back(entry.mInfo);
@@ -285,7 +290,7 @@
     }
   }
   for (const member_info& gone : changes.mGone) {
-    // Not buried: a frozen daemon that wakes is the same run and may come back.
+    // Not recorded as ended: a frozen daemon that resumes is the same process and may come back.
     mOthers.erase(gone.mIncarnation);
     if (mSilentRuns.size() >= kMaxEndedRuns) {
       mSilentRuns.erase(mSilentRuns.begin());
--- a/src/membership/member_base.h
+++ b/src/membership/member_base.h
@@ -1,9 +1,9 @@
 /**
  * @file member_base.h
- * The table of daemons, kept by heartbeats. Each heartbeat carries its sender and some others,
- * those it told least recently, within a budget of bytes: with few daemons everybody is told of
- * in each datagram; with many, news passes from daemon to daemon.
- * Disagreement between tables is expected: ownership that follows from them is a hint.
+ * The table of daemons, maintained by heartbeats. Each heartbeat contains its sender and the
+ * members that it sent least recently, within a bandwidth limit. With few daemons every heartbeat
+ * contains all of them; with many, news is relayed from daemon to daemon. Tables of different
+ * daemons may disagree, so ownership derived from them is only a hint.
  */
 #pragma once
 
@@ -22,44 +22,44 @@
 
 namespace dunehook {
 
-/** What a daemon says of itself. */
+/** What a daemon announces about itself. */
 struct member_info
 {
-  incarnation_id mIncarnation;       ///< Its run.
-  std::string mName;                 ///< Its host's name.
-  std::string mHall;                 ///< Its data hall.
-  endpoint mAddress;                 ///< Its peer address, TCP and UDP.
-  std::uint64_t mHeartbeatCount = 0; ///< Counts its heartbeats; never goes down within a run.
-  std::uint64_t mNextOffset = 1;     ///< Offset of the next record it will fold.
-  bool mServing = false;             ///< It takes work: caught up and not stopping.
-  std::uint32_t mWeight = 0; ///< Thousandths of a core that it may use; 0 if it doesn't tell.
+  incarnation_id mIncarnation;       ///< Identifies its process.
+  std::string mName;                 ///< Name of its host.
+  std::string mHall;                 ///< Data hall of its host.
+  endpoint mAddress;                 ///< Peer address, for TCP and UDP.
+  std::uint64_t mHeartbeatCount = 0; ///< Number of heartbeats sent; never decreases in one process.
+  std::uint64_t mNextOffset = 1;     ///< Offset of the next record that it will apply.
+  bool mServing = false;             ///< It accepts work: it is up to date and not stopping.
+  std::uint32_t mWeight = 0; ///< CPU share that it may use, in thousandths of a core; 0 if unknown.
 
   auto operator<=>(const member_info&) const = default;
 };
 
-/** @return whether @p aOne comes before @p aTwo where one daemon does something for others: those
- * with more weight first, by name where weights are alike. */
+/** @return whether @p aOne ranks before @p aTwo when one daemon acts for others: a larger weight
+ * ranks first, equal weights are ordered by name. */
 bool
 RanksBefore(const member_info& aOne, const member_info& aTwo);
 
-/** A daemon as this one sees it. */
+/** A member as this daemon knows it. */
 struct member_entry
 {
-  member_info mInfo;         ///< Newest known.
-  instant mLastHeardAt{ 0 }; ///< When its beat last went up.
-  instant mLastSentAt{ 0 };  ///< When it was last put into a heartbeat.
-  instant mUnreachableSince{
-    0
-  }; ///< When a connection to it failed after mLastHeardAt; zero if not.
+  member_info mInfo;         ///< Latest information received.
+  instant mLastHeardAt{ 0 }; ///< When its heartbeat count last increased.
+  instant mLastSentAt{ 0 };  ///< When it was last included in a heartbeat.
+  /** When a connection to it failed after mLastHeardAt; zero if none did. */
+  instant mUnreachableSince{ 0 };
 };
 
-/** Settings of the table. */
+/** Settings of the member table. */
 struct member_settings
 {
   duration mHeartbeat = std::chrono::milliseconds(150); ///< Time between heartbeats.
-  duration mFailAfter = std::chrono::milliseconds(900); ///< Silence after which one is gone.
-  double mBytesPerSecond = 11264.0;                     ///< Budget of heartbeats sent.
-  std::size_t mFanout = 3; ///< Receivers of one heartbeat in a large group.
+  /** Silence after which a member counts as gone. */
+  duration mFailAfter = std::chrono::milliseconds(900);
+  double mBytesPerSecond = 11264.0; ///< Bandwidth limit for heartbeats sent.
+  std::size_t mFanout = 3;          ///< Receivers of each heartbeat in a large group.
 };
 
 /** Receivers and content of a heartbeat. */
@@ -69,15 +69,15 @@
   std::string mData;         ///< CBOR datagram.
 };
 
-/** What a received heartbeat or the passing of time changed. */
+/** Changes caused by a received datagram or by the passing of time. */
 struct member_changes
 {
-  std::vector<member_info> mJoined;     ///< Runs seen for the first time.
-  std::vector<member_info> mGone;       ///< Runs that ended or fell silent.
-  std::optional<endpoint> mRequestFrom; ///< A daemon that wants to be told of all members.
+  std::vector<member_info> mJoined;     ///< Processes seen for the first time.
+  std::vector<member_info> mGone;       ///< Processes that ended or fell silent.
+  std::optional<endpoint> mRequestFrom; ///< Address of a daemon that requests the full member list.
 };
 
-/** The daemons this one knows. */
+/** The daemons known to this one, and this one itself. */
 class member_table
 {
 public:
@@ -89,57 +89,58 @@
   {
   }
 
-  /** Sets what this daemon says of itself. */
+  /** Sets what this daemon announces. */
   void SetSelf(std::uint64_t aNext, bool aServing);
-  /** Sets where this daemon is reached, once its socket is open. */
+  /** Sets the address at which this daemon is reached, once its socket is open. */
   void SetSelfAddress(const endpoint& aAddress) { mSelf.mAddress = aAddress; }
-  /** Adds an address to greet; it's dropped once a member is known there. */
+  /** Adds an address to send heartbeats to until a member is known there. */
   void AddSeed(const endpoint& aAddress);
 
   /** @return the next heartbeat. */
   heartbeat BuildHeartbeat(instant aNow);
-  /** @return a datagram that asks its receiver for all members that it knows. */
+  /** @return a datagram that requests the full member list. */
   std::string BuildMemberRequest() const;
-  /** @return datagrams that tell of all members known, for a daemon that asked. */
+  /** @return datagrams with the full member list, in reply to a request. */
   std::vector<std::string> BuildMemberList() const;
-  /** @return whom a daemon that has just started asks: another one, of its hall if it knows any, or
-   * a seed. */
+  /** @return the address that a daemon that has just started asks for the member list: a random
+   * member of its data hall if it knows one, otherwise any other member or a seed. */
   std::optional<endpoint> PickMemberToAsk();
-  /** Takes a datagram; one that isn't signed with the common secret changes nothing. */
+  /** Applies a datagram. One that isn't signed with the shared secret changes nothing. */
   member_changes Receive(std::string_view aDatagram, instant aNow);
-  /** Drops members that fell silent. */
+  /** Removes members that fell silent. */
   member_changes DropSilent(instant aNow);
-  /**
-   * @return silence after which a member is gone. In a group to which heartbeats don't go directly,
-   * news takes longer: the limit grows with the group, see docs/CAPACITY.md.
-   */
+  /** @return the silence after which a member counts as gone. In a group too large for direct
+   * heartbeats news takes longer, so the limit grows with the group; see docs/CAPACITY.md. */
   duration SilenceTimeout() const;
-  /** Notes that a connection to a member failed: it's passed over until it's heard again. */
+  /** Records that a connection to a member failed. The member is skipped until its next heartbeat.
+   */
   void MarkUnreachable(incarnation_id aIncarnation, instant aNow);
 
   /** @return this daemon's own entry. */
   const member_info& Self() const { return mSelf; }
-  /** @return the others, by run. */
+  /** @return the other members, by process. */
   const std::map<incarnation_id, member_entry>& Others() const { return mOthers; }
-  /** @return what is known of a run, or null. */
+  /** @return what is known of a process, or null. */
   const member_info* Find(incarnation_id aIncarnation) const;
-  /** @return whether a run is known to have ended or fallen silent. */
+  /** @return whether a process is known to have ended or fallen silent. */
   bool IsKnownGone(incarnation_id aIncarnation) const
   {
     return mEndedRuns.contains(aIncarnation) || mSilentRuns.contains(aIncarnation);
   }
-  /** @return the daemon that owns a key: the serving member of the highest rank. */
+  /** @return the daemon that owns a key: the reachable serving member with the highest rendezvous
+   * hash. */
   const member_info& OwnerOf(std::string_view aKey) const;
-  /** @return how many members, this one included, take work; at least 1. */
+  /** @return how many members, including this one, are serving; at least 1. */
   std::size_t CountServing() const;
-  /** @return serving members that aren't suspected, this one included, as RanksBefore() puts them.
-   * Daemons that know the same members agree on it. @param aHall only those of a hall, if given. */
+  /** @return the reachable serving members, including this one, ordered by RanksBefore(). Daemons
+   * that know the same members get the same order.
+   * @param aHall only members of this data hall, if given. */
   std::vector<const member_info*> RankedServing(std::optional<std::string_view> aHall = {}) const;
-  /** @return how many serving members of its own hall come before this one. */
+  /** @return how many serving members of its data hall rank before this one. */
   std::size_t RankInHall() const;
-  /** @return how many members, this one included, have folded the record at @p aOffset. */
+  /** @return how many members, including this one, have applied the record at @p aOffset. */
   std::size_t CountHavingApplied(std::uint64_t aOffset) const;
-  /** @return the highest offset any other member has reached; 1 if there is none. */
+  /** @return the highest offset that another member has reached; 1 if there is none. */
   std::uint64_t HighestNextOffset() const;
 
 private:
@@ -148,18 +149,21 @@
   void RememberEnded(incarnation_id aIncarnation);
   std::vector<member_entry*> LeastRecentlySent(std::size_t aCount);
 
-  static constexpr std::size_t kMaxEndedRuns = 4096; ///< Ended runs remembered.
-
-  member_info mSelf;                                  ///< This daemon.
-  member_settings mSettings;                          ///< Times and budget.
-  std::string mSecret;                                ///< Signs datagrams.
-  std::mt19937_64 mRandom;                            ///< Chooses receivers.
-  std::map<incarnation_id, member_entry> mOthers;     ///< Never holds this daemon.
-  std::map<incarnation_id, std::uint64_t> mEndedRuns; ///< Ended runs, with the order of their end.
-  std::uint64_t mEndedCount = 0;                      ///< Ends seen.
-  /** Beats at which runs fell silent: only a later beat brings one back, not a relayed old one. */
+  /** Maximum number of ended, and of silent, processes remembered. */
+  static constexpr std::size_t kMaxEndedRuns = 4096;
+
+  member_info mSelf;                              ///< This daemon.
+  member_settings mSettings;                      ///< Intervals and limits.
+  std::string mSecret;                            ///< Signs datagrams.
+  std::mt19937_64 mRandom;                        ///< Picks receivers.
+  std::map<incarnation_id, member_entry> mOthers; ///< Other members; never contains this daemon.
+  /** Processes that ended, numbered in the order in which they did. */
+  std::map<incarnation_id, std::uint64_t> mEndedRuns;
+  std::uint64_t mEndedCount = 0; ///< Number of processes recorded as ended so far.
+  /** Heartbeat counts at which processes fell silent. Only a higher count brings one back, not an
+   * old entry relayed by others. */
   std::map<incarnation_id, std::uint64_t> mSilentRuns;
-  std::vector<endpoint> mSeeds; ///< Addresses to greet.
+  std::vector<endpoint> mSeeds; ///< Addresses to send heartbeats to until a member is known there.
 };
 
 } // namespace dunehook
--- a/src/membership/member_rank.cpp
+++ b/src/membership/member_rank.cpp
@@ -1,6 +1,6 @@
 /**
  * @file member_rank.cpp
- * What the table of daemons says of them together: ownership, ranks, positions in the log.
+ * What follows from all members together: ownership, ranks, positions in the log.
  */
 #include "membership/member_base.h"
 
--- a/tests/unit/member_test.cpp
+++ b/tests/unit/member_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file member_test.cpp
- * Members: heartbeats spread news, silence ends a member, and a key has one owner.
+ * Members: heartbeats spread news, silent members are removed, and a key has one owner.
  */
 #include "membership/member_base.h"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** Tables that exchange datagrams in virtual time. */
+/** Member tables that exchange datagrams in virtual time. */
 struct fake_group
 {
   fake_group(std::size_t aCount, duration aFailAfter)
@@ -44,9 +44,9 @@
       }
     }
   }
-  std::vector<std::unique_ptr<member_table>> mTables; ///< One for each daemon.
+  std::vector<std::unique_ptr<member_table>> mTables; ///< One table for each daemon.
   instant mNow{ 1s };                                 ///< Virtual time.
-  std::size_t mSilentIndex = SIZE_MAX;                ///< Sends nothing.
+  std::size_t mSilentIndex = SIZE_MAX;                ///< Index of a daemon that sends nothing.
 };
 
 } // namespace
@@ -62,8 +62,8 @@
   }
 }
 
-// By heartbeats alone, 295 daemons that started together knew 181 of 294 others after 14 s (their
-// lines in a replay), and here 100 of 294 after 3 s.
+// With heartbeats alone, 295 daemons that started together knew only 181 of 294 others after 14 s
+// in a replay, and 100 of 294 after 3 s in this test.
 TEST(members, ManyDaemonsStartedTogetherFindAllMembersByRequests)
 {
   constexpr std::size_t kMany = 295;
