--- a/src/links/daemon_link.cpp
+++ b/src/links/daemon_link.cpp
@@ -112,11 +112,11 @@
   for (const auto& [id, member] : mMembers.Others()) {
     all.push_back(RunEndpointOf(member.mInfo.mAddress));
   }
-  SendToAll(std::move(aMessage), all);
+  SendToEach(std::move(aMessage), all);
 }
 
 void
-daemon_link::SendToAll(run_message aMessage, const std::vector<endpoint>& aTo)
+daemon_link::SendToEach(run_message aMessage, const std::vector<endpoint>& aTo)
 {
   aMessage.mDaemon = mMembers.Self().mIncarnation.mValue;
   const std::string data = Encode(aMessage, mState.Now());
--- a/src/links/daemon_link.h
+++ b/src/links/daemon_link.h
@@ -30,11 +30,11 @@
   /** Sends a run message to all known daemons. */
   void Broadcast(run_message aMessage);
   /** Sends a run message to several daemons. @param aTo where they receive run messages. */
-  void SendToAll(run_message aMessage, const std::vector<endpoint>& aTo);
+  void SendToEach(run_message aMessage, const std::vector<endpoint>& aTo);
   /** Sends a run message to one daemon. @param aTo where it receives run messages. */
   void SendTo(run_message aMessage, const endpoint& aTo)
   {
-    SendToAll(std::move(aMessage), { aTo });
+    SendToEach(std::move(aMessage), { aTo });
   }
   /** @param aTake called with each quarantine message received and the address to answer to. */
   void SetQuarantineHandler(std::function<void(const quarantine_message&, const endpoint&)> aTake)
--- a/src/links/placer_link.cpp
+++ b/src/links/placer_link.cpp
@@ -269,7 +269,7 @@
       to.push_back(one.mRunEndpoint);
     }
   }
-  mLink.SendToAll(std::move(aMessage), to);
+  mLink.SendToEach(std::move(aMessage), to);
 }
 
 } // namespace dunehook
