--- a/src/forward/gateway.h
+++ b/src/forward/gateway.h
@@ -72,8 +72,10 @@
       mListener->State().mLimits = aLimits;
     })
   {
-    mState.mTellDaemons = [this](run_message aMessage) { mLink.Tell(std::move(aMessage)); };
-    mState.mTellPlacers = [this](run_message aMessage) { mPlacers.Tell(std::move(aMessage)); };
+    mState.mTellDaemons = [this](run_message aMessage) { mLink.Broadcast(std::move(aMessage)); };
+    mState.mTellPlacers = [this](run_message aMessage) {
+      mPlacers.SendToPlacers(std::move(aMessage));
+    };
     mState.mReportCrash = [this](const crash_report& aReport) {
       mQuarantines.Link().NoteCrash(aReport);
     };
@@ -81,7 +83,7 @@
       mQuarantines.Link().NoteServed(aRequest);
     };
     mState.mAskPlacer = [this](place_request aQuestion, std::function<bool()> aGone) {
-      return mPlacers.Ask(std::move(aQuestion), std::move(aGone));
+      return mPlacers.RequestPlace(std::move(aQuestion), std::move(aGone));
     };
   }
 
@@ -191,10 +193,10 @@
     values["config_age_seconds"] = ToSeconds(now - mFollower.Config().InForceSince());
     values["runners_age_seconds"] = ToSeconds(now - mState.mRunnersReadAt);
     values["store_bytes_in"] = static_cast<double>(mStore.BytesIn());
-    values["config_read_seconds"] = ToSeconds(mFollower.Config().ReadingFor());
+    values["config_read_seconds"] = ToSeconds(mFollower.Config().CurrentReadDuration());
     values["runner_entries_unreadable"] = static_cast<double>(mStore.UnreadableEntries());
     values["store_era"] = static_cast<double>(mState.mRunners.End().mEra);
-    values["store_answers"] = mFollower.Contact().Answers() ? 1.0 : 0.0;
+    values["store_answers"] = mFollower.Contact().IsAnswering() ? 1.0 : 0.0;
     values["daemons"] = static_cast<double>(mState.mDaemons);
     values["generations"] = static_cast<double>(mState.mPlacement.RunCount());
     values["connections"] = static_cast<double>(sessions.mOpenConnections);
@@ -309,12 +311,13 @@
                  "stood_still",
                  { { "ms", (now - slept - kTablePassInterval).count() / 1000 } });
       }
-      mState.NoteRunnersChanged(mState.mRunners.RemoveGone(now, mFollower.Contact().WasAway()));
+      mState.NoteRunnersChanged(
+        mState.mRunners.RemoveGone(now, mFollower.Contact().WasRecentlyAway()));
       mState.mPlacement.Prune(mState.mRunners, now);
       mState.mPool.Prune(now);
       mState.mRefused.Prune(now);
-      mLink.Sweep(now);
-      mPlacers.Tick(now - slept > kTablePassInterval + kLatePassThreshold);
+      mLink.DropSilent(now);
+      mPlacers.UpdatePlacers(now - slept > kTablePassInterval + kLatePassThreshold);
       mState.NoteDaemons(mLink.Members().CountServing());
       mState.mPool.SetMaxIdle(IdleConnectionLimit());
       mFollower.Tick();
@@ -327,14 +330,14 @@
     co_await Sleep(kRolePlanInterval); // Lets messages of the other daemons arrive first.
     for (;;) {
       co_await Sleep(kRolePlanInterval);
-      if (!Ready() || mFollower.Contact().WasAway()) {
+      if (!Ready() || mFollower.Contact().WasRecentlyAway()) {
         continue;
       }
       role_peers peers;
       peers.mFirst = true;
       for (const auto& [id, member] : mLink.Members().Others()) {
         peers.mAlive.push_back(member.mInfo.mName);
-        if (member.mInfo.mServing && GoesBefore(member.mInfo, mLink.Members().Self())) {
+        if (member.mInfo.mServing && RanksBefore(member.mInfo, mLink.Members().Self())) {
           peers.mFirst = false;
         }
       }
--- a/src/links/quarantine_store.h
+++ b/src/links/quarantine_store.h
@@ -1,7 +1,7 @@
 /**
  * @file quarantine_store.h
- * Keeps quarantines in the store, for the case that all daemons end: a daemon that starts asks the
- * others first, and reads the store where none of them knows.
+ * Keeps quarantines in the store in case all daemons stop. A daemon that starts asks the others
+ * first, and reads the store if none of them has the quarantines.
  */
 #pragma once
 
@@ -10,16 +10,18 @@
 
 namespace dunehook {
 
-/** A daemon that starts waits so long for an answer of another one before it reads the store. */
-inline constexpr duration kAsksOthersFor = std::chrono::milliseconds(1000);
-/** Daemons that start together read the store spread over this. */
-inline constexpr duration kReadSpread = std::chrono::milliseconds(500);
-/** Rest after a call to the store that failed. */
-inline constexpr duration kStoreCallRest = std::chrono::milliseconds(700);
-/** Quarantines that wait to be written, at most. */
-inline constexpr std::size_t kMostUnwritten = 64;
+/** After its start a daemon waits this long for another one's quarantines before it reads the
+ * store. */
+inline constexpr duration kPeerSyncWait = std::chrono::milliseconds(1000);
+/** Maximum random delay before that read, so that daemons that start together spread their reads.
+ */
+inline constexpr duration kMaxReadJitter = std::chrono::milliseconds(500);
+/** Pause after a failed call to the store. */
+inline constexpr duration kStoreRetryDelay = std::chrono::milliseconds(700);
+/** Maximum number of quarantines waiting to be written. */
+inline constexpr std::size_t kMaxUnwritten = 64;
 
-/** The part of quarantines that goes through the store. */
+/** Loads quarantines from the store at the start, and writes new ones to it. */
 template<control_store Store>
 class quarantine_store
 {
@@ -28,22 +30,22 @@
     : mState(aState)
     , mStore(aStore)
     , mLink(aState, aLink)
-    , mWork(aState.mIo)
+    , mWritePending(aState.mIo)
   {
-    mLink.OnQuarantined([this](request_fingerprint aRequest) { Keep(aRequest); });
+    mLink.OnQuarantined([this](request_fingerprint aRequest) { QueueWrite(aRequest); });
   }
 
   void Start()
   {
     mLink.Start();
-    SpawnGuarded(mState.mIo, Read());
-    SpawnGuarded(mState.mIo, Write());
+    SpawnGuarded(mState.mIo, LoadRecords());
+    SpawnGuarded(mState.mIo, WriteRecords());
   }
 
   quarantine_link& Link() { return mLink; }
 
 private:
-  /** @return the time of day in Unix ms. */
+  /** @return the current Unix time in ms. */
   static std::uint64_t WallMs()
   {
     const auto since = std::chrono::system_clock::now().time_since_epoch();
@@ -51,29 +53,30 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(since).count());
   }
 
-  void Keep(request_fingerprint aRequest)
+  void QueueWrite(request_fingerprint aRequest)
   {
-    if (mUnwritten.size() < kMostUnwritten) {
+    if (mUnwritten.size() < kMaxUnwritten) {
       mUnwritten.push_back({ aRequest, WallMs() });
-      mWork.Notify();
+      mWritePending.Notify();
     }
   }
 
-  /** Learns what was in quarantine before this daemon's start. */
-  asio::awaitable<void> Read()
+  /** Reads the quarantines from before this daemon's start, unless another daemon sends them. */
+  asio::awaitable<void> LoadRecords()
   {
-    co_await Sleep(kAsksOthersFor + FromSeconds(ToSeconds(kReadSpread) * mState.RandomFraction()));
-    while (!mLink.Knows()) {
+    co_await Sleep(kPeerSyncWait +
+                   FromSeconds(ToSeconds(kMaxReadJitter) * mState.RandomFraction()));
+    while (!mLink.IsSynced()) {
       const result<std::vector<quarantine_record>> read = co_await mStore.ReadQuarantines();
       if (read) {
-        TakeRead(read.value());
+        ApplyRecords(read.value());
         co_return;
       }
-      co_await Sleep(kStoreCallRest);
+      co_await Sleep(kStoreRetryDelay);
     }
   }
 
-  void TakeRead(const std::vector<quarantine_record>& aRecords)
+  void ApplyRecords(const std::vector<quarantine_record>& aRecords)
   {
     const std::uint64_t now = WallMs();
     std::size_t taken = 0;
@@ -83,47 +86,49 @@
       notice.mAge = std::chrono::milliseconds(age);
       taken += mState.mCrashes.ApplyNotice(notice, mState.Now()) ? 1 : 0;
       if (notice.mAge >= kQuarantineDuration) {
-        mPassed.push_back(record.mRequest);
+        mExpired.push_back(record.mRequest);
       }
     }
     LogEvent(log_level::eInfo,
              "quarantines_read",
              { { "records", aRecords.size() }, { "in_quarantine", taken } });
-    mLink.NoteKnows();
+    mLink.MarkSynced();
   }
 
-  /** Writes what this daemon has put into quarantine, and takes out what has passed. */
-  asio::awaitable<void> Write()
+  /** Writes the quarantines of this daemon, and removes expired records. */
+  asio::awaitable<void> WriteRecords()
   {
     for (;;) {
       if (mUnwritten.empty()) {
-        co_await mWork.Wait(kQuarantineDuration);
+        co_await mWritePending.Wait(kQuarantineDuration);
         continue;
       }
       const quarantine_record record = mUnwritten.front();
       const result<void> written = co_await mStore.WriteQuarantine(record);
-      if (!written) { // It may have been written: once more does no harm.
-        co_await Sleep(kStoreCallRest);
+      if (!written) { // It may have been written; writing it twice does no harm.
+        co_await Sleep(kStoreRetryDelay);
         continue;
       }
       mUnwritten.pop_front();
-      while (!mPassed.empty()) {
-        const request_fingerprint passed = mPassed.back();
-        mPassed.pop_back();
+      while (!mExpired.empty()) {
+        const request_fingerprint passed = mExpired.back();
+        mExpired.pop_back();
         const result<void> removed = co_await mStore.RemoveQuarantine(passed);
         if (!removed) {
-          mPassed.clear(); // Whoever starts next finds them again.
+          mExpired.clear(); // The next daemon to start finds them again.
         }
       }
     }
   }
 
-  forward_state& mState;                    ///< Shared.
-  Store& mStore;                            ///< Keeps the records.
-  quarantine_link mLink;                    ///< The other daemons.
-  wake_list mWork;                          ///< Woken when there's something to write.
-  std::deque<quarantine_record> mUnwritten; ///< Put into quarantine here; at most kMostUnwritten.
-  std::vector<request_fingerprint> mPassed; ///< Records whose time was over at the start.
+  forward_state& mState;   ///< State shared by the parts of the daemon.
+  Store& mStore;           ///< Keeps the records.
+  quarantine_link mLink;   ///< Exchanges quarantines with the other daemons.
+  wake_list mWritePending; ///< Woken when there is a record to write.
+  /** Quarantines of this daemon to write; at most kMaxUnwritten. */
+  std::deque<quarantine_record> mUnwritten;
+  /** Records that had expired at the start, to be removed. */
+  std::vector<request_fingerprint> mExpired;
 };
 
 } // namespace dunehook
--- a/tests/unit/member_test.cpp
+++ b/tests/unit/member_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file member_test.cpp
- * Members: heartbeats spread news, silence ends a member, and a key has one owner.
+ * Members: heartbeats spread news, silent members are removed, and a key has one owner.
  */
 #include "membership/member_base.h"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** Tables that exchange datagrams in virtual time. */
+/** Member tables that exchange datagrams in virtual time. */
 struct fake_group
 {
   fake_group(std::size_t aCount, duration aFailAfter)
@@ -34,19 +34,19 @@
   {
     for (const instant end = mNow + aSpan; mNow < end; mNow += 150ms) {
       for (std::size_t index = 0; index < mTables.size(); ++index) {
-        if (mSilent != index) {
+        if (mSilentIndex != index) {
           const heartbeat beat = mTables[index]->BuildHeartbeat(mNow);
           for (const endpoint& to : beat.mTo) {
             mTables[to.mPort - 1U]->Receive(beat.mData, mNow);
           }
         }
-        mTables[index]->Sweep(mNow);
+        mTables[index]->DropSilent(mNow);
       }
     }
   }
-  std::vector<std::unique_ptr<member_table>> mTables; ///< One for each daemon.
+  std::vector<std::unique_ptr<member_table>> mTables; ///< One table for each daemon.
   instant mNow{ 1s };                                 ///< Virtual time.
-  std::size_t mSilent = SIZE_MAX;                     ///< Sends nothing.
+  std::size_t mSilentIndex = SIZE_MAX;                ///< Index of a daemon that sends nothing.
 };
 
 } // namespace
@@ -62,21 +62,21 @@
   }
 }
 
-// By heartbeats alone, 295 daemons that started together knew 181 of 294 others after 14 s (their
-// lines in a replay), and here 100 of 294 after 3 s.
-TEST(members, ManyThatStartTogetherKnowAllSoonByAsking)
+// With heartbeats alone, 295 daemons that started together knew only 181 of 294 others after 14 s
+// in a replay, and 100 of 294 after 3 s in this test.
+TEST(members, ManyDaemonsStartedTogetherFindAllMembersByRequests)
 {
   constexpr std::size_t kMany = 295;
   fake_group group(kMany, 900ms);
   for (int round = 0; round < 6; ++round) {
     group.Run(500ms);
     for (const auto& table : group.mTables) {
-      const auto asked = table->DrawAsked();
+      const auto asked = table->PickMemberToAsk();
       CHECK(asked.has_value());
       member_table& other = *group.mTables[asked->mPort - 1U];
-      const member_changes changes = other.Receive(table->BuildQuestion(), group.mNow);
-      CHECK(changes.mAsked == table->Self().mAddress);
-      for (const std::string& answer : other.BuildAnswers()) {
+      const member_changes changes = other.Receive(table->BuildMemberRequest(), group.mNow);
+      CHECK(changes.mRequestFrom == table->Self().mAddress);
+      for (const std::string& answer : other.BuildMemberList()) {
         table->Receive(answer, group.mNow);
       }
     }
@@ -86,7 +86,7 @@
   }
 }
 
-TEST(members, ThoseWithMoreWeightGoBefore)
+TEST(members, MembersWithMoreWeightRankFirst)
 {
   member_info thin;
   thin.mName = "a";
@@ -96,9 +96,9 @@
   wide.mWeight = 500;
   member_info second = wide;
   second.mName = "c";
-  CHECK_TRUE(GoesBefore(wide, thin));
-  CHECK_FALSE(GoesBefore(thin, wide));
-  CHECK_TRUE(GoesBefore(wide, second));
+  CHECK_TRUE(RanksBefore(wide, thin));
+  CHECK_FALSE(RanksBefore(thin, wide));
+  CHECK_TRUE(RanksBefore(wide, second));
 }
 
 TEST(members, AKeyHasTheSameOwnerEverywhere)
@@ -116,21 +116,21 @@
   fake_group group(8, 900ms);
   group.Run(3s);
   const incarnation_id owner = group.mTables[0]->OwnerOf("cell:a").mIncarnation;
-  group.mSilent = owner.mValue - 1;
+  group.mSilentIndex = owner.mValue - 1;
   group.Run(1500ms);
-  const std::size_t other = group.mSilent == 0 ? 1 : 0;
+  const std::size_t other = group.mSilentIndex == 0 ? 1 : 0;
   CHECK_TRUE(group.mTables[other]->Find(owner) == nullptr);
   CHECK_TRUE(group.mTables[other]->OwnerOf("cell:a").mIncarnation != owner);
 }
 
-TEST(members, AFrozenDaemonThatWakesComesBackAsTheSameRun)
+TEST(members, AFrozenDaemonThatResumesComesBackAsTheSameProcess)
 {
   fake_group group(3, 900ms);
   group.Run(2s);
-  group.mSilent = 2;
+  group.mSilentIndex = 2;
   group.Run(1500ms);
   CHECK_TRUE(group.mTables[0]->Find({ 3 }) == nullptr);
-  group.mSilent = SIZE_MAX;
+  group.mSilentIndex = SIZE_MAX;
   group.Run(600ms);
   CHECK_TRUE(group.mTables[0]->Find({ 3 }) != nullptr);
 }
@@ -143,7 +143,7 @@
   CHECK_TRUE(good.Receive("x", 1s).mJoined.empty());
 }
 
-TEST(members, ANewRunAtTheSameAddressEndsTheEarlierOne)
+TEST(members, ANewProcessAtTheSameAddressEndsTheEarlierOne)
 {
   member_table here({ { 1 }, "a", "h", { "127.0.0.1", 1 } }, {}, "secret");
   member_table before({ { 2 }, "b", "h", { "127.0.0.1", 2 } }, {}, "secret");
@@ -154,14 +154,14 @@
   CHECK_TRUE(here.IsKnownGone({ 2 }));
 }
 
-TEST(members, ASuspectedDaemonOwnsNothingUntilItIsHeardAgain)
+TEST(members, AnUnreachableDaemonOwnsNothingUntilItsNextHeartbeat)
 {
   member_table here({ { 1 }, "a", "h", { "127.0.0.1", 1 } }, {}, "secret");
   member_table there({ { 2 }, "b", "h", { "127.0.0.1", 2 } }, {}, "secret");
   there.SetSelf(1, true);
   here.Receive(there.BuildHeartbeat(1s).mData, 1s);
   LONGS_EQUAL(2, here.OwnerOf("k").mIncarnation.mValue);
-  here.Suspect({ 2 }, 1s);
+  here.MarkUnreachable({ 2 }, 1s);
   LONGS_EQUAL(1, here.OwnerOf("k").mIncarnation.mValue);
   here.Receive(there.BuildHeartbeat(2s).mData, 2s);
   LONGS_EQUAL(2, here.OwnerOf("k").mIncarnation.mValue);
--- a/tests/unit/quarantine_link_test.cpp
+++ b/tests/unit/quarantine_link_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file quarantine_link_test.cpp
- * What daemons tell each other of requests that crash runners: two daemons' links on loopback, and
- * the same telling and comparing among hundreds of ledgers in virtual time.
+ * Exchange of information on requests that crash runners: two daemons on loopback, and the same
+ * exchange between hundreds of crash ledgers in virtual time.
  */
 #include "links/quarantine_link.h"
 
@@ -16,21 +16,21 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr request_fingerprint kPoison{ 1001 };
-/** Time in which daemons that are in contact must know of a third crash. */
-constexpr duration kContact = milliseconds(3000);
-/** Ports of the daemons; each process of tests has its own. */
+constexpr request_fingerprint kCrashingRequest{ 1001 };
+/** Time within which connected daemons must know of a third crash. */
+constexpr duration kReportLimit = milliseconds(3000);
+/** Port range of the daemons; each test process uses its own ports. */
 constexpr int kFirstPort = 42000;
 constexpr int kPorts = 2000;
-constexpr int kPortsOfOne = 4;
+constexpr int kPortsPerProcess = 4;
 
 std::uint16_t
 PortOfProcess()
 {
-  return static_cast<std::uint16_t>(kFirstPort + (::getpid() * kPortsOfOne) % kPorts);
+  return static_cast<std::uint16_t>(kFirstPort + (::getpid() * kPortsPerProcess) % kPorts);
 }
 
-/** One daemon, without callers. */
+/** A daemon without callers. */
 struct node
 {
   node(asio::io_context& aIo, int aNumber)
@@ -38,7 +38,7 @@
     , mLink(mState)
     , mQuarantines(mState, mLink)
   {
-    mState.mTellDaemons = [this](run_message aMessage) { mLink.Tell(std::move(aMessage)); };
+    mState.mTellDaemons = [this](run_message aMessage) { mLink.Broadcast(std::move(aMessage)); };
     mState.mTellPlacers = mState.mTellDaemons;
     CHECK_TRUE(mLink.Open().has_value());
     mLink.Start([] { return true; });
@@ -54,19 +54,20 @@
     settings.mPeers = { AddressOf(aNumber), PortOfProcess() };
     return settings;
   }
-  /** Lets this daemon hear another, and be heard by it. */
-  void Meet(int aOther)
+  /** Makes this daemon and another one exchange heartbeats. */
+  void Connect(int aOther)
   {
     mState.mSettings.mSeeds = { AddressOf(aOther) };
     mLink.AddSeeds();
   }
-  bool Kept() const
+  bool IsQuarantined() const
   {
-    return mState.mCrashes.StatusOf(kPoison, mState.Now()) == quarantine_status::eQuarantined;
+    return mState.mCrashes.StatusOf(kCrashingRequest, mState.Now()) ==
+           quarantine_status::eQuarantined;
   }
 
-  forward_state mState;         ///< Its tables.
-  daemon_link mLink;            ///< To the other.
+  forward_state mState;         ///< State of the daemon.
+  daemon_link mLink;            ///< Messages to the other daemon.
   quarantine_link mQuarantines; ///< Under test.
 };
 
@@ -76,81 +77,84 @@
 {
   asio::io_context mIo{ 1 }; ///< Runs all daemons.
 
-  /** Runs until something is so. @return whether it was in time. */
-  bool RunUntil(const std::function<bool()>& aSo, duration aWithin)
+  /** Runs the daemons until a condition holds. @return whether it did in time. */
+  bool RunUntil(const std::function<bool()>& aCondition, duration aWithin)
   {
     const instant until = boot_clock_source{}.Now() + aWithin;
-    while (!aSo() && boot_clock_source{}.Now() < until) {
+    while (!aCondition() && boot_clock_source{}.Now() < until) {
       mIo.run_for(milliseconds(10));
     }
-    return aSo();
+    return aCondition();
   }
-  static void CrashThree(node & aNode)
+  static void ReportThreeCrashes(node & aNode)
   {
     for (std::uint64_t life = 1; life <= kCrashesToQuarantine; ++life) {
-      aNode.mQuarantines.NoteCrash({ kPoison, { life }, false });
+      aNode.mQuarantines.NoteCrash({ kCrashingRequest, { life }, false });
     }
   }
 };
 
-TEST(quarantine_link, AThirdCrashIsToldToADaemonThatIsHeard)
+TEST(quarantine_link, AThirdCrashIsReportedToAConnectedDaemon)
 {
   node one(mIo, 1);
   node two(mIo, 2);
-  one.Meet(2);
-  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kContact));
-  CrashThree(one);
-  CHECK_TRUE(RunUntil([&] { return two.Kept(); }, kContact));
+  one.Connect(2);
+  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kReportLimit));
+  ReportThreeCrashes(one);
+  CHECK_TRUE(RunUntil([&] { return two.IsQuarantined(); }, kReportLimit));
 }
 
 TEST(quarantine_link, CrashesThatTwoDaemonsSawAreCountedTogether)
 {
   node one(mIo, 1);
   node two(mIo, 2);
-  one.Meet(2);
-  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kContact));
-  one.mQuarantines.NoteCrash({ kPoison, { 1 }, false });
-  two.mQuarantines.NoteCrash({ kPoison, { 2 }, false });
-  one.mQuarantines.NoteCrash({ kPoison, { 3 }, false });
-  CHECK_TRUE(RunUntil([&] { return one.Kept() && two.Kept(); }, kContact));
+  one.Connect(2);
+  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kReportLimit));
+  one.mQuarantines.NoteCrash({ kCrashingRequest, { 1 }, false });
+  two.mQuarantines.NoteCrash({ kCrashingRequest, { 2 }, false });
+  one.mQuarantines.NoteCrash({ kCrashingRequest, { 3 }, false });
+  CHECK_TRUE(RunUntil([&] { return one.IsQuarantined() && two.IsQuarantined(); }, kReportLimit));
 }
 
-TEST(quarantine_link, ADaemonThatWasCutOffIsToldOnceItIsHeardAgain)
+TEST(quarantine_link, ADaemonThatWasCutOffGetsQuarantinesOnceReachable)
 {
   node one(mIo, 1);
   node two(mIo, 2);
-  CrashThree(one);
-  CHECK_TRUE(RunUntil([&] { return one.Kept(); }, kContact));
-  CHECK_FALSE(two.Kept());
-  two.Meet(1);
-  CHECK_TRUE(RunUntil([&] { return two.Kept(); }, kContact));
+  ReportThreeCrashes(one);
+  CHECK_TRUE(RunUntil([&] { return one.IsQuarantined(); }, kReportLimit));
+  CHECK_FALSE(two.IsQuarantined());
+  two.Connect(1);
+  CHECK_TRUE(RunUntil([&] { return two.IsQuarantined(); }, kReportLimit));
 }
 
-TEST(quarantine_link, ANoticeThatWasLostIsMadeGoodByTheNextComparison)
+TEST(quarantine_link, ALostNoticeIsRecoveredByTheNextComparison)
 {
   node one(mIo, 1);
   node two(mIo, 2);
-  one.Meet(2);
-  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kContact));
-  const quarantine_notice untold{ kPoison, quarantine_status::eQuarantined, duration{ 0 } };
+  one.Connect(2);
+  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kReportLimit));
+  const quarantine_notice untold{ kCrashingRequest,
+                                  quarantine_status::eQuarantined,
+                                  duration{ 0 } };
   one.mState.mCrashes.ApplyNotice(untold, one.mState.Now());
-  CHECK_TRUE(RunUntil([&] { return two.Kept(); }, kContact));
+  CHECK_TRUE(RunUntil([&] { return two.IsQuarantined(); }, kReportLimit));
 }
 
-TEST(quarantine_link, ARequestThatWasServedElsewhereIsClearWhereCrashesAreCounted)
+TEST(quarantine_link, ARequestServedElsewhereIsClearedWhereCrashesAreCounted)
 {
   node one(mIo, 1);
   node two(mIo, 2);
-  one.Meet(2);
-  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kContact));
-  one.mQuarantines.NoteCrash({ kPoison, { 1 }, false });
-  one.mQuarantines.NoteCrash({ kPoison, { 2 }, false });
-  CHECK_TRUE(RunUntil([&] { return two.mState.mCrashes.CountCrashes(kPoison) == 2; }, kContact));
-  two.mQuarantines.NoteServed(kPoison);
-  CHECK_TRUE(RunUntil([&] { return one.mState.mCrashes.Empty(); }, kContact));
+  one.Connect(2);
+  CHECK_TRUE(RunUntil([&] { return two.mLink.Members().Others().size() == 1; }, kReportLimit));
+  one.mQuarantines.NoteCrash({ kCrashingRequest, { 1 }, false });
+  one.mQuarantines.NoteCrash({ kCrashingRequest, { 2 }, false });
+  CHECK_TRUE(RunUntil([&] { return two.mState.mCrashes.CountCrashes(kCrashingRequest) == 2; },
+                      kReportLimit));
+  two.mQuarantines.NoteServed(kCrashingRequest);
+  CHECK_TRUE(RunUntil([&] { return one.mState.mCrashes.Empty(); }, kReportLimit));
 }
 
-TEST(quarantine_link, HundredsOfDaemonsKnowInTimeAlsoThoseThatWereCutOff)
+TEST(quarantine_link, HundredsOfDaemonsLearnInTimeIncludingThoseThatWereCutOff)
 {
   constexpr std::size_t kDaemons = 300;
   constexpr std::size_t kCutOff = 100;
@@ -162,34 +166,38 @@
     std::vector<crash_ledger> daemons(kDaemons);
     std::vector<instant> compares;
     const instant began = seconds(100);
-    const quarantine_notice told{ kPoison, quarantine_status::eQuarantined, duration{ 0 } };
+    const quarantine_notice told{ kCrashingRequest,
+                                  quarantine_status::eQuarantined,
+                                  duration{ 0 } };
     daemons[0].ApplyNotice(told, began);
     for (std::size_t i = 0; i < kDaemons; ++i) {
       const bool reached = i < kDaemons - kCutOff && draw() >= kLost;
       if (reached) {
         daemons[i].ApplyNotice(told, began);
       }
-      compares.push_back(began + FromSeconds(ToSeconds(kCompareEvery) * 1.5 * draw()));
+      compares.push_back(began + FromSeconds(ToSeconds(kCompareInterval) * 1.5 * draw()));
     }
-    // All are in contact from here on. Each compares with one other, drawn from all.
-    for (instant now = began; now < began + kContact; now += milliseconds(10)) {
+    // From here on all daemons can reach each other. Each compares with one other, picked at
+    // random.
+    for (instant now = began; now < began + kReportLimit; now += milliseconds(10)) {
       for (std::size_t i = 0; i < kDaemons; ++i) {
         if (now < compares[i]) {
           continue;
         }
-        compares[i] = now + FromSeconds(ToSeconds(kCompareEvery) * (0.5 + draw()));
+        compares[i] = now + FromSeconds(ToSeconds(kCompareInterval) * (0.5 + draw()));
         const auto other = static_cast<std::size_t>(draw() * kDaemons);
         const bool arrives = draw() >= kLost && draw() >= kLost;
         if (arrives && daemons[i].Digest(now) != daemons[other].Digest(now)) {
           for (const quarantine_notice& notice :
-               daemons[other].NewestQuarantined(now, kMostNotices)) {
+               daemons[other].NewestQuarantined(now, kMaxNoticesPerDatagram)) {
             daemons[i].ApplyNotice(notice, now);
           }
         }
       }
     }
     for (const crash_ledger& daemon : daemons) {
-      CHECK_TRUE(daemon.StatusOf(kPoison, began + kContact) == quarantine_status::eQuarantined);
+      CHECK_TRUE(daemon.StatusOf(kCrashingRequest, began + kReportLimit) ==
+                 quarantine_status::eQuarantined);
     }
   }
 }
--- a/tests/unit/store_contact_test.cpp
+++ b/tests/unit/store_contact_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file store_contact_test.cpp
- * Which daemons read the store: two daemons of a hall that hear each other on loopback.
+ * Which daemons read the store: two daemons of a data hall that exchange heartbeats on loopback.
  */
 #include "links/store_contact.h"
 #include "tests/support/fake_boot_time.h"
@@ -15,12 +15,12 @@
 
 using std::chrono::milliseconds;
 
-/** Time in which the two hear each other. */
-constexpr duration kHeardWithin = milliseconds(3000);
-/** Ports of the daemons; each process of tests has its own. */
+/** Time within which the two daemons must know each other. */
+constexpr duration kHeardLimit = milliseconds(3000);
+/** Port range of the daemons; each test process uses its own ports. */
 constexpr int kFirstPort = 44000;
 constexpr int kPorts = 2000;
-constexpr int kPortsOfOne = 4;
+constexpr int kPortsPerProcess = 4;
 
 std::string
 AddressOf(int aNumber)
@@ -31,7 +31,8 @@
 gateway_settings
 SettingsOf(int aNumber)
 {
-  const auto port = static_cast<std::uint16_t>(kFirstPort + (::getpid() * kPortsOfOne) % kPorts);
+  const auto port =
+    static_cast<std::uint16_t>(kFirstPort + (::getpid() * kPortsPerProcess) % kPorts);
   gateway_settings settings;
   settings.mName = "entry-" + std::to_string(aNumber);
   settings.mHall = "hall-a";
@@ -40,7 +41,7 @@
   return settings;
 }
 
-/** One daemon that knows a configuration and a runner. */
+/** A daemon with a configuration and a runner. */
 struct node
 {
   node(asio::io_context& aIo, int aNumber)
@@ -59,8 +60,8 @@
     mContact.Tick();
   }
 
-  forward_state mState;   ///< Its tables.
-  daemon_link mLink;      ///< To the other.
+  forward_state mState;   ///< State of the daemon.
+  daemon_link mLink;      ///< Messages to the other daemon.
   store_contact mContact; ///< Under test.
 };
 
@@ -70,10 +71,11 @@
 {
   asio::io_context mIo{ 1 }; ///< Runs both daemons.
 
-  /** Starts both, and waits until the second leaves the store to the first. */
-  void Meet(node & aReader, node & aOther)
+  /** Waits until the second daemon has heard the first and ranks after it, so that it leaves
+   * reading to the first. */
+  void WaitUntilRanked(node & aReader, node & aOther)
   {
-    const instant until = boot_clock_source{}.Now() + kHeardWithin;
+    const instant until = boot_clock_source{}.Now() + kHeardLimit;
     aOther.mState.mPeerStorePositionAt = aOther.mState.Now();
     while (aOther.mLink.RankInHall() != 1 && boot_clock_source{}.Now() < until) {
       mIo.run_for(milliseconds(10));
@@ -83,40 +85,41 @@
   }
 };
 
-TEST(store_contact, WhoIsToldLeavesTheStoreToTheReader)
+TEST(store_contact, ADaemonWithRecentReportsDoesNotReadTheStore)
 {
   node reader(mIo, 1);
   node other(mIo, 2);
-  Meet(reader, other);
+  WaitUntilRanked(reader, other);
   other.mState.mPeerStorePositionAt = other.mState.Now();
-  CHECK_TRUE(reader.mContact.Asks());
-  CHECK_FALSE(other.mContact.Asks());
+  CHECK_TRUE(reader.mContact.IsReader());
+  CHECK_FALSE(other.mContact.IsReader());
 }
 
-// Daemons that take over in several halls at once tell each other how far the store is.
-TEST(store_contact, WhoHasTakenOverReadsOnThoughAnotherTellsThePosition)
+// Daemons that take over in several data halls at once receive each other's reports. If these made
+// them stop reading, none would read the configuration.
+TEST(store_contact, ADaemonThatTookOverKeepsReadingDespiteReports)
 {
   node reader(mIo, 1);
   node other(mIo, 2);
-  Meet(reader, other);
-  test::SuspendFor(kToldFor + kAskerStep * 2);
-  CHECK_TRUE(other.mContact.Asks()); // Nobody has told it for so long.
-  CHECK_TRUE(other.mContact.ReadsRunners());
+  WaitUntilRanked(reader, other);
+  test::SuspendFor(kReportLifetime + kTakeOverStep * 2);
+  CHECK_TRUE(other.mContact.IsReader()); // No report has come for too long.
+  CHECK_TRUE(other.mContact.MustReadRunners());
   other.mState.mPeerStorePositionAt = other.mState.Now();
-  CHECK_TRUE(other.mContact.Asks());
-  test::SuspendFor(kReadsOnFor);
+  CHECK_TRUE(other.mContact.IsReader());
+  test::SuspendFor(kTakeOverPeriod);
   other.mState.mPeerStorePositionAt = other.mState.Now();
-  CHECK_FALSE(other.mContact.Asks());
+  CHECK_FALSE(other.mContact.IsReader());
 }
 
-TEST(store_contact, WhoHasTakenOverAndIsTurnedAwayLeavesTheStoreToOthers)
+TEST(store_contact, ADaemonThatTookOverAndIsRefusedStopsReading)
 {
   node reader(mIo, 1);
   node other(mIo, 2);
-  Meet(reader, other);
-  test::SuspendFor(kToldFor + kAskerStep * 2);
-  CHECK_TRUE(other.mContact.ReadsRunners());
-  other.mContact.NoteNoRunners();
+  WaitUntilRanked(reader, other);
+  test::SuspendFor(kReportLifetime + kTakeOverStep * 2);
+  CHECK_TRUE(other.mContact.MustReadRunners());
+  other.mContact.NoteRunnerReadFailed();
   other.mState.mPeerStorePositionAt = other.mState.Now();
-  CHECK_FALSE(other.mContact.Asks());
+  CHECK_FALSE(other.mContact.IsReader());
 }
