--- a/src/runners/runner_table.cpp
+++ b/src/runners/runner_table.cpp
@@ -102,7 +102,7 @@
                          instant aNow,
                          std::vector<service_runner_id>& aChanged)
 {
-  if (EndFormerIncarnation(aEntry, aNow, aChanged)) {
+  if (EndEarlierIncarnation(aEntry, aNow, aChanged)) {
     return;
   }
   const service_runner_id id = RunnerIdOf(aEntry.mName, aEntry.mBorn);
@@ -127,9 +127,9 @@
 }
 
 bool
-runner_table::EndFormerIncarnation(const runner_entry& aEntry,
-                                   instant aNow,
-                                   std::vector<service_runner_id>& aChanged)
+runner_table::EndEarlierIncarnation(const runner_entry& aEntry,
+                                    instant aNow,
+                                    std::vector<service_runner_id>& aChanged)
 {
   const auto newest = mNewestIncarnations.find(aEntry.mName);
   if (newest == mNewestIncarnations.end() || newest->second.mBorn == aEntry.mBorn) {
@@ -138,10 +138,10 @@
   if (newest->second.mBorn > aEntry.mBorn) {
     return true;
   }
-  if (runner_state* const former = Find(newest->second.mId)) {
-    MarkUnlisted(*former, aNow, false);
-    former->mGone = true; // No expired entry: the runner itself has restarted.
-    aChanged.push_back(former->mId);
+  if (runner_state* const earlier = Find(newest->second.mId)) {
+    MarkUnlisted(*earlier, aNow, false);
+    earlier->mGone = true; // No expired entry: the runner itself has restarted.
+    aChanged.push_back(earlier->mId);
   }
   return false;
 }
--- a/src/runners/runner_table.h
+++ b/src/runners/runner_table.h
@@ -151,9 +151,9 @@
                   std::vector<service_runner_id>& aChanged);
   /** Ends the runner's previous incarnation if @p aEntry is of a newer one. @return whether
    * @p aEntry is outdated: of an incarnation before the newest known. */
-  bool EndFormerIncarnation(const runner_entry& aEntry,
-                            instant aNow,
-                            std::vector<service_runner_id>& aChanged);
+  bool EndEarlierIncarnation(const runner_entry& aEntry,
+                             instant aNow,
+                             std::vector<service_runner_id>& aChanged);
   /** Records that a runner has no entry. @param aWentBack the store was rolled back. */
   void MarkUnlisted(runner_state& aRunner, instant aNow, bool aWentBack);
   /** Marks runners as gone that are missing for longer than an expired entry may be. */
--- a/tests/platform/epoch_test.cpp
+++ b/tests/platform/epoch_test.cpp
@@ -92,7 +92,7 @@
   }
 };
 
-TEST(epochs, ARestartedRunnerGetsRequestsAfterItsEarlierProcessLeft)
+TEST(epochs, ARestartedRunnerGetsRequestsAfterItsEarlierIncarnationLeft)
 {
   StartWithStartTimes();
   mBed.SetRunner("desk-1", { { "leaves", true } });
@@ -127,12 +127,13 @@
   CHECK_TRUE(Generates());
 }
 
-TEST(epochs, AnEntryOfAnEarlierProcessIsIgnored)
+TEST(epochs, AnEntryOfAnEarlierIncarnationIsIgnored)
 {
   StartWithStartTimes();
   mBed.Rebear("desk-1", 200);
   WaitUntilRead();
-  // An entry of the earlier process arrives late, with an address where nothing listens any more.
+  // An entry of the earlier incarnation arrives late, with an address where nothing listens any
+  // more.
   mBed.ListRaw("desk-1",
                R"({"service":"desk","address":"127.0.0.250:9","zone":"hall-a","version":"v1",)"
                R"("slots":8,"state":"ready","cold-remaining-ms":0,"sequence":1,"born":100})");
--- a/tests/platform/fleet_bed.h
+++ b/tests/platform/fleet_bed.h
@@ -17,7 +17,7 @@
   std::string mState = "ready";  ///< As it's listed.
   json mFaults = json::object(); ///< As the stand-in's control takes them.
   std::string mHall = "hall-a";  ///< Daemons stand in hall-a.
-  std::uint64_t mBorn = 0;       ///< When its life began, in ms; 0 if it doesn't tell.
+  std::uint64_t mBorn = 0;       ///< When its incarnation started, in ms; 0 if unknown.
 };
 
 /** How a test starts a daemon. */
@@ -45,13 +45,14 @@
   /** Lets a runner begin anew under its id, at its address: it holds nothing, says nothing, and is
    * listed. */
   void Rebear(const std::string& aId, std::uint64_t aBorn);
-  /** Lists a runner with another instant of its birth; nothing of it changes. */
+  /** Lists a runner with another start time of its incarnation; the runner itself does not change.
+   */
   void ListBorn(const std::string& aId, std::uint64_t aBorn);
   /** @return a runner's entry as it was listed last, without its state. */
   const json& EntryOf(const std::string& aId) const { return mEntries.at(aId); }
   /** Writes an entry of any content under any key. */
   void ListRaw(const std::string& aId, const std::string& aText);
-  /** Lists an entry with another runner's address: a life that has ended. */
+  /** Lists an entry with another runner's address: an incarnation that has ended. */
   void ListAs(const std::string& aId, const std::string& aOther);
   /** Lists a runner where nothing listens. */
   void ListUnreachable(const std::string& aId, const runner_options& aOptions);
@@ -118,10 +119,11 @@
   process& Daemon(std::size_t aDaemon = 0) { return *mDaemons.at(aDaemon); }
   /** @return requests that runners saw, those of one request id if given. */
   std::vector<json> Seen(const std::string& aRequest = "") const;
-  /** Ends a runner's life. Its next one begins at its address under another id, after the time that
-   * "down_ms" among its faults sets. */
+  /** Ends a runner's incarnation. Its next one begins at its address under another id, after the
+   * time that "down_ms" among its faults sets. */
   void CrashRunner(const std::string& aId) const;
-  /** Takes over a runner's birth as it's listed now, after a crash under the id that it keeps. */
+  /** Takes over the start time of a runner's incarnation as it's listed now, after a crash under
+   * the id that it keeps. */
   void TakeBirth(const std::string& aId);
   /** @return lives of runners that crashed: "runner", "at_ms" and "by", the body that did it. */
   std::vector<json> Crashes() const;
--- a/tests/platform/gateway_test.cpp
+++ b/tests/platform/gateway_test.cpp
@@ -433,7 +433,7 @@
 TEST(gateway, AnEntryThatIsOutOfDateIsAskedOnce)
 {
   mBed.StartUsual();
-  mBed.ListAs("ended", "desk-2"); // A life that has ended; desk-2 has its address now.
+  mBed.ListAs("ended", "desk-2"); // An incarnation that has ended; desk-2 has its address now.
   CHECK(mBed.Daemon().WaitForLine("\"runner\":\"ended\"") != "");
   for (int i = 0; i < 12; ++i) {
     const std::string id = "r" + std::to_string(i);
--- a/tests/unit/forward_test.cpp
+++ b/tests/unit/forward_test.cpp
@@ -168,7 +168,7 @@
   mTable.NoteRoleChange(former, kNow + 60s);
   mTable.Find(former)->mUnderWay = 7;
   const auto changed = mTable.Apply(Listing(2, { Entry("a", 200) }), kNow, true);
-  LONGS_EQUAL(2, changed.size()); // The former incarnation ended and the new one began.
+  LONGS_EQUAL(2, changed.size()); // The earlier incarnation ended and the new one began.
   CHECK_TRUE(mTable.Find(former)->mGone);
   const runner_state* const now = Pick();
   CHECK(now != nullptr && now->mId == RunnerIdOf("a", 200));
--- a/tests/unit/quarantine_link_test.cpp
+++ b/tests/unit/quarantine_link_test.cpp
@@ -88,8 +88,8 @@
   }
   static void ReportThreeCrashes(node & aNode)
   {
-    for (std::uint64_t life = 1; life <= kCrashesToQuarantine; ++life) {
-      aNode.mQuarantines.NoteCrash({ kCrashingRequest, { life }, false });
+    for (std::uint64_t incarnation = 1; incarnation <= kCrashesToQuarantine; ++incarnation) {
+      aNode.mQuarantines.NoteCrash({ kCrashingRequest, { incarnation }, false });
     }
   }
 };
