--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -226,7 +226,7 @@
     byCost.emplace_back(BaseCost(*decode, aDemand, load), decode);
   }
   if (byCost.empty()) {
-    aSets.mDecodes.resize(kMaxComparedEngines); // Their back-off gives the retry time.
+    aSets.mDecodes.resize(kMaxComparedEngines); // Their backoff gives the retry time.
     return;
   }
   const std::size_t looks = std::min(kMaxComparedEngines, byCost.size());
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -70,7 +70,7 @@
    * gets no runs for a time that doubles with each further refusal. Refusals that arrive during
    * that time answer earlier reservations and are ignored. */
   void NoteFull(service_runner_id aDecode, instant aNow);
-  /** Records that an engine accepted a reservation, which ends its back-off. */
+  /** Records that an engine accepted a reservation, which ends its backoff. */
   void NoteRoom(service_runner_id aDecode);
   /** Replaces all runs of another daemon by the ones it reports. */
   void ReplaceRuns(std::uint64_t aDaemon, const std::vector<run_record>& aRuns, instant aNow);
@@ -91,8 +91,8 @@
   struct decode_state
   {
     double mMicrosPerToken = 800.0; ///< Time for a token of one run; a default until measured.
-    instant mFullUntil{ 0 };        ///< End of its back-off after a refused reservation.
-    /** Length of the last back-off; zero once a reservation is accepted. */
+    instant mFullUntil{ 0 };        ///< End of its backoff after a refused reservation.
+    /** Length of the last backoff; zero once a reservation is accepted. */
     duration mFullBackoff{ 0 };
     instant mReadsUntil{ 0 }; ///< Expected end of the last prompt read that it was given.
   };
--- a/src/placement/placement_type.h
+++ b/src/placement/placement_type.h
@@ -14,10 +14,10 @@
 
 namespace dunehook {
 
-/** First back-off of an engine that refused a reservation: about the time in which one of its runs
+/** First backoff of an engine that refused a reservation: about the time in which one of its runs
  * ends. */
 inline constexpr duration kMinFullBackoff = std::chrono::milliseconds(60);
-/** Limit of the back-off, which doubles with each refusal after a back-off: an engine that keeps
+/** Limit of the backoff, which doubles with each refusal after a backoff: an engine that keeps
  * refusing holds more than the daemons know of, and a run takes some seconds to end. */
 inline constexpr duration kMaxFullBackoff = std::chrono::milliseconds(960);
 
--- a/src/runners/runner_choice.cpp
+++ b/src/runners/runner_choice.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-/** First and longest back-off from a runner that can't be reached. */
-constexpr duration kInitialBackOff = std::chrono::milliseconds(150);
-constexpr duration kMaxBackOff = std::chrono::milliseconds(1200);
+/** First and longest backoff from a runner that can't be reached. */
+constexpr duration kInitialBackoff = std::chrono::milliseconds(150);
+constexpr duration kMaxBackoff = std::chrono::milliseconds(1200);
 /** A probe of an engine that was unreachable lately expires after this: the time limit of a
  * reservation call, and the delay of messages between daemons. Without probes, every caller would
  * wait out that limit at an engine that doesn't answer. */
 constexpr duration kProbeTimeout = std::chrono::milliseconds(300);
-/** Back-off from a runner that refused: about the time until a slot becomes free. */
-constexpr duration kRefusedBackOff = std::chrono::milliseconds(30);
+/** Backoff from a runner that refused: about the time until a slot becomes free. */
+constexpr duration kRefusedBackoff = std::chrono::milliseconds(30);
 /** An entry that turned out to be wrong is used again after this, even if it hasn't changed: reads
  * of the store may be some seconds behind. */
-constexpr duration kMisdirectedBackOff = std::chrono::seconds(4);
-/** The back-off doubles with each refusal in a row, up to about a second. */
+constexpr duration kMisdirectedBackoff = std::chrono::seconds(4);
+/** The backoff doubles with each refusal in a row, up to about a second. */
 constexpr std::uint32_t kMaxRefusalDoublings = 5;
 /** Weight of the newest outcome in the moving average, which spans about ten outcomes. */
 constexpr double kOutcomeWeight = 0.12;
@@ -149,7 +149,7 @@
 {
   for (const service_runner_id engine : aEngines) {
     runner_state* const state = Find(engine);
-    if (state != nullptr && state->mBackOff > duration{ 0 }) {
+    if (state != nullptr && state->mBackoff > duration{ 0 }) {
       state->mProbeUntil = aNow + kProbeTimeout;
     }
   }
@@ -193,7 +193,7 @@
   }
   state->mProbeUntil = instant{ 0 };
   if (aOutcome == send_outcome::eMisdirected) {
-    state->mMisdirectedUntil = aNow + kMisdirectedBackOff;
+    state->mMisdirectedUntil = aNow + kMisdirectedBackoff;
     return;
   }
   if (aOutcome == send_outcome::eRefused) {
@@ -202,19 +202,19 @@
     // since it's only given work that should fit. Plain services are full for moments only.
     const bool engine = state->mEntry.mRole != engine_role::eNone;
     const std::uint32_t steps = engine ? std::min(state->mRefusals - 1, kMaxRefusalDoublings) : 0;
-    const duration backOff = kRefusedBackOff * (std::int64_t{ 1 } << steps);
-    state->mAvoidUntil = std::max(state->mAvoidUntil, aNow + backOff);
+    const duration backoff = kRefusedBackoff * (std::int64_t{ 1 } << steps);
+    state->mAvoidUntil = std::max(state->mAvoidUntil, aNow + backoff);
     return;
   }
   const double failed = aOutcome == send_outcome::eServed ? 0.0 : 1.0;
   state->mFailureShare += kOutcomeWeight * (failed - state->mFailureShare);
   if (aOutcome == send_outcome::eServed) {
-    state->mBackOff = duration{ 0 };
+    state->mBackoff = duration{ 0 };
     state->mRefusals = 0;
   }
   if (aOutcome == send_outcome::eUnreachable) {
-    state->mBackOff = std::clamp(state->mBackOff * 2, kInitialBackOff, kMaxBackOff);
-    state->mAvoidUntil = aNow + state->mBackOff;
+    state->mBackoff = std::clamp(state->mBackoff * 2, kInitialBackoff, kMaxBackoff);
+    state->mAvoidUntil = aNow + state->mBackoff;
   }
 }
 
--- a/src/runners/runner_table.h
+++ b/src/runners/runner_table.h
@@ -36,7 +36,7 @@
   instant mMisdirectedUntil{
     0
   };                      ///< Its entry is outdated: no work before this, unless the entry changes.
-  duration mBackOff{ 0 }; ///< Last back-off; grows while it's unreachable.
+  duration mBackoff{ 0 }; ///< Last backoff; grows while it's unreachable.
   instant mProbeUntil{
     0
   }; ///< A request probes whether it's reachable: no other request before this.
--- a/tests/unit/placement_test.cpp
+++ b/tests/unit/placement_test.cpp
@@ -345,7 +345,7 @@
       mPlacement.NoteFull(engine, now + 1ms); // Sent before the first refusal was known.
     }
   }
-  printf("asked in vain in 10 s: %d\n", asked); // 14; 167 with a constant back-off.
+  printf("asked in vain in 10 s: %d\n", asked); // 14; 167 with a constant backoff.
   CHECK(asked >= 10);
   CHECK(asked <= 20);
   mPlacement.NoteRoom(engine);
