--- a/src/links/quarantine_link.cpp
+++ b/src/links/quarantine_link.cpp
@@ -116,11 +116,11 @@
       run_message message;
       quarantine_message& question = message.mQuarantine.emplace();
       question.mSenderDigest = mState.mCrashes.Digest(mState.Now());
-      question.mAlwaysAnswer = !mSynced;
+      question.mAlwaysAnswer = !mStateReceived;
       mLink.SendTo(std::move(message), *other);
     }
     const double spread = 0.5 + mState.RandomFraction();
-    const duration every = mSynced ? kCompareInterval : kInitialCompareInterval;
+    const duration every = mStateReceived ? kCompareInterval : kInitialCompareInterval;
     co_await Sleep(FromSeconds(ToSeconds(every) * spread));
   }
 }
@@ -146,7 +146,7 @@
                  { "by", ToText(aFrom) } });
     }
   }
-  mSynced = mSynced || aMessage.mSynchronized;
+  mStateReceived = mStateReceived || aMessage.mSenderStateReceived;
   if (aMessage.mSenderDigest) {
     Answer(aMessage, aFrom);
   }
@@ -163,7 +163,7 @@
   run_message message;
   quarantine_message& answer = message.mQuarantine.emplace();
   answer.mNotices = mState.mCrashes.NewestQuarantined(now, kMaxNoticesPerDatagram);
-  answer.mSynchronized = mSynced;
+  answer.mSenderStateReceived = mStateReceived;
   mLink.SendTo(std::move(message), aFrom);
 }
 
--- a/src/links/quarantine_link.h
+++ b/src/links/quarantine_link.h
@@ -42,9 +42,9 @@
   /** Records that a request was served completely. */
   void NoteServed(request_fingerprint aRequest);
   /** @return whether this daemon has received the quarantines that existed when it started. */
-  bool IsSynced() const { return mSynced; }
+  bool HasReceivedState() const { return mStateReceived; }
   /** Marks these quarantines as received. */
-  void MarkSynced() { mSynced = true; }
+  void MarkStateReceived() { mStateReceived = true; }
   /** @param aAction called with each request that this daemon puts into quarantine. */
   void OnQuarantined(std::function<void(request_fingerprint)> aAction)
   {
@@ -75,7 +75,7 @@
   std::deque<own_crash> mRecentCrashes; ///< This daemon's crashes to send again, oldest first; at
                                         ///< most kMaxCrashesResent.
   std::function<void(request_fingerprint)> mOnQuarantined; ///< May be empty.
-  bool mSynced = false;                                    ///< See IsSynced().
+  bool mStateReceived = false;                             ///< See HasReceivedState().
 };
 
 } // namespace dunehook
--- a/src/links/quarantine_store.h
+++ b/src/links/quarantine_store.h
@@ -66,7 +66,7 @@
   {
     co_await Sleep(kPeerSyncWait +
                    FromSeconds(ToSeconds(kMaxReadJitter) * mState.RandomFraction()));
-    while (!mLink.IsSynced()) {
+    while (!mLink.HasReceivedState()) {
       const result<std::vector<quarantine_record>> read = co_await mStore.ReadQuarantines();
       if (read) {
         ApplyRecords(read.value());
@@ -92,7 +92,7 @@
     LogEvent(log_level::eInfo,
              "quarantines_read",
              { { "records", aRecords.size() }, { "in_quarantine", taken } });
-    mLink.MarkSynced();
+    mLink.MarkStateReceived();
   }
 
   /** Writes the quarantines of this daemon, and removes expired records. */
--- a/src/messages/run_message.cpp
+++ b/src/messages/run_message.cpp
@@ -185,7 +185,7 @@
                        std::move(notices),
                        senderDigest,
                        aMessage.mAlwaysAnswer,
-                       aMessage.mSynchronized });
+                       aMessage.mSenderStateReceived });
 }
 
 quarantine_notice
@@ -217,7 +217,7 @@
     message.mSenderDigest = aItem.at(3).get<std::uint64_t>();
   }
   message.mAlwaysAnswer = aItem.at(4).get<bool>();
-  message.mSynchronized = aItem.at(5).get<bool>();
+  message.mSenderStateReceived = aItem.at(5).get<bool>();
   return message;
 }
 
--- a/src/quarantine/quarantine_type.h
+++ b/src/quarantine/quarantine_type.h
@@ -51,7 +51,8 @@
   std::optional<std::uint64_t>
     mSenderDigest;            ///< Requests the receiver's quarantines if its digest differs.
   bool mAlwaysAnswer = false; ///< Answer even if the digests agree: the sender has just started.
-  bool mSynchronized = false; ///< The sender knows all quarantines that the others knew.
+  /** The sender has received the quarantines that existed when it started. */
+  bool mSenderStateReceived = false;
 
   bool operator==(const quarantine_message&) const = default;
 };
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -296,7 +296,7 @@
   told.mNotices.push_back({ { 11 }, quarantine_status::eSuspected, seconds(1) });
   told.mSenderDigest = 12345;
   told.mAlwaysAnswer = true;
-  told.mSynchronized = true;
+  told.mSenderStateReceived = true;
   const std::optional<run_message> read = DecodeRunMessage(Encode(message, mNow), mNow);
   CHECK_TRUE(read.has_value());
   CHECK_TRUE(*read == message);
