--- a/src/forward/generation_call.h
+++ b/src/forward/generation_call.h
@@ -472,7 +472,7 @@
     if (mMayHaveRun) {
       status = TimeLeft() <= duration{ 0 } ? 504 : 502;
     }
-    const duration back = RetryDelay(mPlace.FreeIn(), mState.RandomFraction());
+    const duration back = RetryAfter(mPlace.FreeIn(), mState.RandomFraction());
     mState.mMetrics.CountRequest(mRoute.mName, status == 503 ? "refused" : "failed", aReason);
     mState.LogDecision(log_level::eWarning,
                        "generation_given_up",
--- a/src/placement/placement.cpp
+++ b/src/placement/placement.cpp
@@ -24,10 +24,11 @@
 constexpr double kIgnoredFailureShare = 0.06;
 /** Cost of an engine that already failed this request: it is chosen only if there's no other. */
 constexpr double kFailedThisRequestCostMicros = 5000000.0;
-/** Retry delay where there's no usable engine. */
-constexpr duration kNoEngineRetryDelay = std::chrono::seconds(1);
-/** Retry delay where all reads would be late: the read queues are shorter by then. */
-constexpr duration kTooLateRetryDelay = std::chrono::milliseconds(300);
+/** Time after which the caller is told to retry where there's no usable engine. */
+constexpr duration kNoEngineRetryAfter = std::chrono::seconds(1);
+/** Time after which the caller is told to retry where all reads would be late: the read queues are
+ * shorter by then. */
+constexpr duration kTooLateRetryAfter = std::chrono::milliseconds(300);
 /** Least time between two prompt reads of a decode engine, so that its runs catch up. */
 constexpr duration kDecodeReadInterval = std::chrono::milliseconds(350);
 /** Share of the longest allowed pause between events that a read at a decode engine may take. */
@@ -359,7 +360,7 @@
   const double memory = MemoryFor(aDemand, aTraits);
   placement_answer answer;
   if (sets.mDecodes.empty()) {
-    answer.mFreeIn = kNoEngineRetryDelay;
+    answer.mFreeIn = kNoEngineRetryAfter;
     return answer;
   }
   best_placement best;
@@ -379,7 +380,7 @@
     return answer;
   }
   answer.mReason = hasMemory ? no_place::eTooLate : no_place::eNoMemory;
-  answer.mFreeIn = kTooLateRetryDelay;
+  answer.mFreeIn = kTooLateRetryAfter;
   if (!hasMemory && aWantsTime) {
     answer.mFreeIn = kProbedDelays.back() * 2;
     for (const runner_state* const decode : sets.mDecodes) {
--- a/src/placement/return_plan.h
+++ b/src/placement/return_plan.h
@@ -26,9 +26,10 @@
 /** Share of the time until the caller's deadline that a request may wait; the rest is for its run.
  */
 inline constexpr double kDeadlineShare = 0.33;
-/** Shortest retry delay of a refused caller, and the span of the random delay added to it. */
-inline constexpr duration kMinRetryDelay = std::chrono::milliseconds(1500);
-inline constexpr duration kRetryDelaySpread = std::chrono::milliseconds(3000);
+/** Shortest time after which a refused caller is told to retry, and the span of the random time
+ * added to it. */
+inline constexpr duration kMinRetryAfter = std::chrono::milliseconds(1500);
+inline constexpr duration kRetryAfterSpread = std::chrono::milliseconds(3000);
 
 /** How long a request may wait for a place. */
 struct place_wait
@@ -69,12 +70,12 @@
 /**
  * @param aFreeIn expected time until there's a place.
  * @param aDraw a random number from 0 up to 1 that spreads the callers' retries.
- * @return the delay after which a refused caller should retry.
+ * @return the time after which a refused caller is told to retry.
  */
 inline duration
-RetryDelay(duration aFreeIn, double aDraw)
+RetryAfter(duration aFreeIn, double aDraw)
 {
-  return std::max(aFreeIn, kMinRetryDelay) + FromSeconds(ToSeconds(kRetryDelaySpread) * aDraw);
+  return std::max(aFreeIn, kMinRetryAfter) + FromSeconds(ToSeconds(kRetryAfterSpread) * aDraw);
 }
 
 } // namespace dunehook
--- a/tests/unit/placing_return_test.cpp
+++ b/tests/unit/placing_return_test.cpp
@@ -168,7 +168,7 @@
     mRefused.Note(caller.mRequest.mPromptKey, aNow);
     ++mOutcome.mReturned;
     load_caller away = caller;
-    away.mNext = aNow + RetryDelay(aReply.mFreeIn, mDraw.Share());
+    away.mNext = aNow + RetryAfter(aReply.mFreeIn, mDraw.Share());
     mRefusedCallers.push_back(away);
   }
 
@@ -287,7 +287,7 @@
 
 TEST(placing_return, CallersComeBackSpreadOut)
 {
-  CHECK(RetryDelay(0ms, 0.0) == 1500ms);
-  CHECK(RetryDelay(0ms, 0.5) == 3s);
-  CHECK(RetryDelay(2s, 0.0) == 2s);
+  CHECK(RetryAfter(0ms, 0.0) == 1500ms);
+  CHECK(RetryAfter(0ms, 0.5) == 3s);
+  CHECK(RetryAfter(2s, 0.0) == 2s);
 }
