--- a/src/decide/cell_base.h
+++ b/src/decide/cell_base.h
@@ -15,7 +15,7 @@
 
 namespace dunehook {
 
-/** Retry credit that each admitted request adds; a repeat costs 1. */
+/** Retry credit that each admitted request adds; a retry costs 1. */
 inline constexpr double kRetryCreditPerRequest = 0.1;
 /** Upper limit of the retry credit, and the credit with which a new owner starts. */
 inline constexpr double kMaxRetryCredit = 10.0;
@@ -33,7 +33,7 @@
   std::uint64_t mArrived = 0;  ///< Requests received, before admission.
   std::uint64_t mAdmitted = 0; ///< Requests put into the queue.
   std::uint64_t mRefused = 0;  ///< Requests refused, at any stage.
-  std::uint64_t mRequeued = 0; ///< Repeats after a failure or a lost prefill result.
+  std::uint64_t mRequeued = 0; ///< Retries after a failure or a lost prefill result.
   std::uint64_t mFinished = 0; ///< Requests answered in full.
   std::uint64_t mCancelled =
     0; ///< Requests cancelled by the caller or by the end of its daemon run.
@@ -63,7 +63,7 @@
   std::deque<in_flight_chunk> mInFlightChunks; ///< Chunks on the link, oldest first.
   instant mLastChunkFinished{ 0 };             ///< When the latest chunk arrived.
   double mLinkRate = 0.0;                ///< Measured rate in bytes per second; 0 until measured.
-  double mRetryCredit = kMaxRetryCredit; ///< Repeats allowed now; see kRetryCreditPerRequest.
+  double mRetryCredit = kMaxRetryCredit; ///< Retries allowed now; see kRetryCreditPerRequest.
   std::mt19937_64 mRandom{ 1 };          ///< Source of the jitter in Retry-After.
   instant mNow{ 0 };                     ///< Time of the event or tick being handled.
 
--- a/src/decide/decide_type.h
+++ b/src/decide/decide_type.h
@@ -36,7 +36,7 @@
   bool mPrefixAffinity = true;   ///< Prefer the engine that holds the prompt's prefix.
   bool mChunkedTransfers = true; ///< Split large transfers into chunks.
   bool mAdmission = true;        ///< Refuse requests that can't meet their targets.
-  bool mRetryBudget = true;      ///< Limit repeats to a fraction of the admitted requests.
+  bool mRetryBudget = true;      ///< Limit retries to a fraction of the admitted requests.
   bool mAging = false;           ///< Serve the longest wait first. Off: see docs/DECISIONS.md, 5.
 
   auto operator<=>(const placement_switches&) const = default;
@@ -70,7 +70,7 @@
 /** Stage of a request, in the order in which they are passed. */
 enum class request_stage
 {
-  eWaiting,      ///< Queued for a prefill engine; a repeat comes back here.
+  eWaiting,      ///< Queued for a prefill engine; a retry comes back here.
   ePrefilling,   ///< A prefill engine processes the prompt.
   eReady,        ///< The prefill result waits for a decode slot.
   eTransferring, ///< A decode slot is held; the result is being transferred to it.
--- a/src/decide/request_base.h
+++ b/src/decide/request_base.h
@@ -15,7 +15,7 @@
 {
   request_arrived mRequest;                       ///< As it arrived.
   request_stage mStage = request_stage::eWaiting; ///< Its current stage.
-  instant mArrived{ 0 };                          ///< When it arrived; unchanged by repeats.
+  instant mArrived{ 0 };                          ///< When it arrived; unchanged by retries.
   engine_id mPrefill;                ///< Set from ePrefilling until the transfer is over.
   engine_id mDecode;                 ///< Set from eTransferring.
   instant mPrefillEnd{ 0 };          ///< Predicted, then actual end of the prefill.
--- a/src/forward/generation_call.h
+++ b/src/forward/generation_call.h
@@ -93,7 +93,7 @@
     }
     const bool allowed = mState.BudgetOf(mService.mName).Take(mState.Now(), aSends);
     if (allowed) {
-      mState.mMetrics.CountRepeats(mService.mName, aSends);
+      mState.mMetrics.CountRetries(mService.mName, aSends);
     }
     return allowed;
   }
--- a/src/forward/plain_call.h
+++ b/src/forward/plain_call.h
@@ -86,7 +86,7 @@
     const bool allowed = mSends < mRoute.mMaxRunners && TimeLeft() > duration{ 0 } &&
                          mState.BudgetOf(mService.mName).Take(mState.Now());
     if (allowed) {
-      mState.mMetrics.CountRepeats(mService.mName, 1.0);
+      mState.mMetrics.CountRetries(mService.mName, 1.0);
     }
     return allowed;
   }
@@ -124,10 +124,10 @@
     mTriedRunners.insert(id);
     ++mAttempts;
     ++runner->mUnderWay;
-    const bool mayRepeatLater = MayRetry() && mSends + 1 < mRoute.mMaxRunners;
-    const duration limit = mayRepeatLater ? std::min(TimeLeft() + kResponseSlack,
-                                                     mRoute.mFirstAnswer * kTargetsBeforeRetry)
-                                          : TimeLeft() + kResponseSlack;
+    const bool mayRetryLater = MayRetry() && mSends + 1 < mRoute.mMaxRunners;
+    const duration limit = mayRetryLater ? std::min(TimeLeft() + kResponseSlack,
+                                                    mRoute.mFirstAnswer * kTargetsBeforeRetry)
+                                         : TimeLeft() + kResponseSlack;
     upstream_response answer = co_await SendToRunner<Wire>(
       mState, *mExchange, address, plan, mFacts.mId, !MayRetry(), limit);
     const bool again = co_await HandleSendResult(id, address, answer, limit);
--- a/src/forward/prompt_read.h
+++ b/src/forward/prompt_read.h
@@ -43,15 +43,15 @@
 
   /**
    * Has the chosen engine process the prompt. If the response is lost, the same engine is asked
-   * once more: a prefill may be repeated, and one that the engine has completed returns quickly.
+   * once more: a prefill may be retried, and one that the engine has completed returns quickly.
    * @param aPlan the send plan; the fields that concern the prefill are filled in here.
    * @param aDemand supplies the number of prompt tokens and the model.
-   * @param aTakeRepeat asks the retry budget before the prefill is repeated.
+   * @param aTakeRetry asks the retry budget before the prefill is retried.
    */
   asio::awaitable<read_outcome> Read(const placement_choice& aChoice,
                                      send_plan aPlan,
                                      generation_demand aDemand,
-                                     std::function<bool()> aTakeRepeat)
+                                     std::function<bool()> aTakeRetry)
   {
     mResultLocation.clear();
     const service_runner_id id = *aChoice.mPrefill;
@@ -73,8 +73,8 @@
     const bool lost =
       answer.mSendStatus == send_status::eUnknown && !answer.mTimedOut && !mExchange.Disconnected();
     const duration spent = mState.Now() - began;
-    if (lost && spent < limit && aTakeRepeat()) {
-      LogRepeat();
+    if (lost && spent < limit && aTakeRetry()) {
+      LogRetry();
       aPlan.mTimeLeft -= spent; // The engine gets the remaining time, not the original limit.
       answer = co_await Send(aPlan, limit - spent, body);
       broke = broke || answer.mConnectionLost;
@@ -155,7 +155,7 @@
     co_return answer;
   }
 
-  void LogRepeat() const
+  void LogRetry() const
   {
     mState.LogDecision(
       log_level::eWarning, "prefill_repeated", mRequestId, { { "runner", mEngineName } });
--- a/src/placement/retry_budget.h
+++ b/src/placement/retry_budget.h
@@ -9,15 +9,15 @@
 
 namespace dunehook {
 
-/** Limits on repeated sends for all daemons together. */
+/** Limits on retries for all daemons together. */
 struct retry_limits
 {
-  double mShare = 0.2;                         ///< Repeats allowed per request.
+  double mShare = 0.2;                         ///< Retries allowed per request.
   duration mWindow = std::chrono::seconds(10); ///< Time over which the limit applies.
-  double mAllowance = 50.0; ///< Repeats allowed per window in addition to the share.
+  double mAllowance = 50.0; ///< Retries allowed per window in addition to the share.
 };
 
-/** One daemon's budget of repeated sends to a service. */
+/** One daemon's budget of retries to a service. */
 class retry_budget
 {
 public:
@@ -37,10 +37,10 @@
     mAllowanceBucket.Reshape(RateFor(aDaemons), BurstFor(aDaemons));
   }
 
-  /** Records a request's first send, which earns a share of a repeat. */
+  /** Records a request's first send, which earns a share of a retry. */
   void NoteRequest()
   {
-    mEarnedRepeats = std::min(mEarnedRepeats + kUsedLimitShare * mLimits.mShare, kMaxEarnedRepeats);
+    mEarnedRetries = std::min(mEarnedRetries + kUsedLimitShare * mLimits.mShare, kMaxEarnedRetries);
   }
 
   /**
@@ -49,8 +49,8 @@
    */
   bool Take(instant aNow, double aSends = 1.0)
   {
-    if (mEarnedRepeats >= aSends) {
-      mEarnedRepeats -= aSends;
+    if (mEarnedRetries >= aSends) {
+      mEarnedRetries -= aSends;
       return true;
     }
     return mAllowanceBucket.Take(aNow, aSends);
@@ -60,10 +60,10 @@
   /** Share of the limits that is used: the windows of the daemons and of the service aren't
    * aligned. */
   static constexpr double kUsedLimitShare = 0.7;
-  /** Limit of the repeats saved up from the share; more would be spent after the window in which
+  /** Limit of the retries saved up from the share; more would be spent after the window in which
    * they were earned.
    */
-  static constexpr double kMaxEarnedRepeats = 10.0;
+  static constexpr double kMaxEarnedRetries = 10.0;
 
   /** @return refill per second: a daemon's part of half the allowance, over the window. */
   double RateFor(double aDaemons) const { return BurstFor(aDaemons) / ToSeconds(mLimits.mWindow); }
@@ -74,7 +74,7 @@
   }
 
   retry_limits mLimits;        ///< Limits of all daemons together.
-  double mEarnedRepeats = 0.0; ///< Repeats saved up; within 0 and kMaxEarnedRepeats.
+  double mEarnedRetries = 0.0; ///< Retries saved up; within 0 and kMaxEarnedRetries.
   /** This daemon's part of the allowance: half at once, half over the window. */
   token_bucket mAllowanceBucket;
 };
--- a/src/state/gateway_metrics.cpp
+++ b/src/state/gateway_metrics.cpp
@@ -52,7 +52,7 @@
   , mPromptTokens(Counters(mRegistry,
                            "dunehook_prompt_tokens_total",
                            "Prompt tokens read, and of them thrown away, by reason."))
-  , mRepeats(Counters(mRegistry, "dunehook_repeats_total", "Sends beyond the first, by service."))
+  , mRetries(Counters(mRegistry, "dunehook_repeats_total", "Sends beyond the first, by service."))
   , mStoreCalls(Counters(mRegistry, "dunehook_store_calls_total", "Calls to the store, by answer."))
   , mGauges(&prometheus::BuildGauge()
                .Name("dunehook_state")
@@ -125,9 +125,9 @@
 }
 
 void
-gateway_metrics::CountRepeats(const std::string& aService, double aSends)
+gateway_metrics::CountRetries(const std::string& aService, double aSends)
 {
-  mRepeats->Add({ { "service", aService } }).Increment(aSends);
+  mRetries->Add({ { "service", aService } }).Increment(aSends);
 }
 
 void
--- a/src/state/gateway_metrics.h
+++ b/src/state/gateway_metrics.h
@@ -54,7 +54,7 @@
    */
   void CountPromptTokens(std::string_view aWhat, double aTokens);
   /** Counts sends of requests beyond the first. */
-  void CountRepeats(const std::string& aService, double aSends);
+  void CountRetries(const std::string& aService, double aSends);
   /** Counts a call to the store. */
   void CountStoreCall(std::string_view aCall, bool aAnswered);
 
@@ -76,7 +76,7 @@
   prometheus::Family<prometheus::Counter>* mPlaces;         ///< By outcome.
   prometheus::Family<prometheus::Counter>* mRunnerNotices;  ///< By notice.
   prometheus::Family<prometheus::Counter>* mPromptTokens;   ///< Tokens, by what became of them.
-  prometheus::Family<prometheus::Counter>* mRepeats;        ///< By service.
+  prometheus::Family<prometheus::Counter>* mRetries;        ///< By service.
   prometheus::Family<prometheus::Counter>* mStoreCalls;     ///< By call and answer.
   prometheus::Family<prometheus::Gauge>* mGauges;           ///< All gauges, by name.
   std::set<std::string> mLabelledRoutes;                    ///< Routes that have their own label.
--- a/tests/platform/gateway_test.cpp
+++ b/tests/platform/gateway_test.cpp
@@ -258,13 +258,13 @@
   CHECK(timeLeft(1) < timeLeft(0));
 }
 
-TEST(gateway, AReaderThatIsNotReachedCostsNoRepeats)
+TEST(gateway, AReaderThatIsNotReachedCostsNoRetries)
 {
   mBed.ListUnreachable("prefill-1", { "tutor", "prefill" });
   mBed.AddRunner("decode-1", { "tutor", "decode" });
   mBed.PutConfig(1);
   mBed.StartDaemon();
-  // Each few requests meet the dead engine; repeats for all of them aren't in the budget.
+  // Each few requests meet the dead engine; retries for all of them aren't in the budget.
   for (int i = 0; i < 25; ++i) {
     const std::string id = "g" + std::to_string(i);
     const answer got =
--- a/tests/unit/decide_test.cpp
+++ b/tests/unit/decide_test.cpp
@@ -150,13 +150,13 @@
   CHECK_TRUE(refusal.mRetryAfter >= 200ms);
 }
 
-TEST(decide, ALostPrefillIsRepeatedWithinTheBudgetAndRefusedBeyondIt)
+TEST(decide, ALostPrefillIsRetriedWithinTheBudgetAndRefusedBeyondIt)
 {
   cell_settings settings;
   settings.mSwitches.mAdmission = false;
   cell_fixture cell(1, settings);
   cell.Arrive(1);
-  for (int repeat = 0; repeat < 10; ++repeat) {
+  for (int retry = 0; retry < 10; ++retry) {
     const auto failed =
       cell.mCore.Handle(work_failed{ cell_fixture::Attempt(1), kPrefill, false, true }, cell.mNow);
     LONGS_EQUAL(0, Count<refuse_request>(failed));
