--- a/src/links/config_source.h
+++ b/src/links/config_source.h
@@ -22,7 +22,7 @@
  * within the time in which the store's answer would have to begin. */
 inline constexpr double kMegabitsPerTransfer = 12.0;
 /** Longest wait of a request for a free transfer slot, or for a version that is about to arrive.
- * The asker has as much time left to read the store. */
+ * The requesting daemon has as much time left to read the store. */
 inline constexpr duration kMaxTurnWait = std::chrono::milliseconds(300);
 /** Time between checks for a free transfer slot or a newer version. */
 inline constexpr duration kTurnCheckInterval = std::chrono::milliseconds(10);
--- a/src/links/daemon_link.cpp
+++ b/src/links/daemon_link.cpp
@@ -206,10 +206,10 @@
   }
   // Readers of the store may be at different positions. A report from one that is behind neither
   // moves the known position back nor counts as a recent report.
-  store_position& told = mState.mPeerStorePosition;
-  const bool older = position.mRunners < told.mRunners || position.mConfig < told.mConfig;
-  told.mRunners = std::max(told.mRunners, position.mRunners);
-  told.mConfig = std::max(told.mConfig, position.mConfig);
+  store_position& known = mState.mPeerStorePosition;
+  const bool older = position.mRunners < known.mRunners || position.mConfig < known.mConfig;
+  known.mRunners = std::max(known.mRunners, position.mRunners);
+  known.mConfig = std::max(known.mConfig, position.mConfig);
   if (!older) {
     mState.mPeerStorePositionAt = aNow;
   }
--- a/src/links/placer_link.cpp
+++ b/src/links/placer_link.cpp
@@ -218,8 +218,8 @@
     Deliver(*reply);
   }
   if (const auto* const question = std::get_if<place_request>(&message)) {
-    const endpoint asker = EndpointOf(aFrom);
-    SendUdp(mSocket, Encode(Answer(*question, question->mDaemon, asker)), asker);
+    const endpoint sender = EndpointOf(aFrom);
+    SendUdp(mSocket, Encode(Answer(*question, question->mDaemon, sender)), sender);
   }
 }
 
--- a/src/links/quarantine_link.cpp
+++ b/src/links/quarantine_link.cpp
@@ -62,11 +62,11 @@
   if (changed.empty()) {
     return;
   }
-  quarantine_message told;
+  quarantine_message report;
   for (const quarantine_notice& notice : changed) {
     const bool quarantined = notice.mStatus == quarantine_status::eQuarantined;
-    if (told.mNotices.size() < kMaxNoticesPerDatagram) {
-      told.mNotices.push_back(notice);
+    if (report.mNotices.size() < kMaxNoticesPerDatagram) {
+      report.mNotices.push_back(notice);
     }
     if (!quarantined) {
       continue;
@@ -81,7 +81,7 @@
     }
   }
   run_message message;
-  message.mQuarantine = std::move(told);
+  message.mQuarantine = std::move(report);
   mLink.Broadcast(std::move(message));
 }
 
@@ -92,17 +92,17 @@
   while (!mRecentCrashes.empty() && now - mRecentCrashes.front().mAt >= kCrashResendPeriod) {
     mRecentCrashes.pop_front();
   }
-  quarantine_message told;
+  quarantine_message report;
   for (own_crash& crash : mRecentCrashes) {
     const bool due = crash.mSentAt == instant{ 0 } || now - crash.mSentAt >= kCrashResendInterval;
     if (due) {
-      told.mCrashes.push_back(crash.mReport);
+      report.mCrashes.push_back(crash.mReport);
       crash.mSentAt = now;
     }
   }
-  if (!told.mCrashes.empty()) {
+  if (!report.mCrashes.empty()) {
     run_message message;
-    message.mQuarantine = std::move(told);
+    message.mQuarantine = std::move(report);
     mState.mTellPlacers(std::move(message));
   }
 }
--- a/src/links/quarantine_link.h
+++ b/src/links/quarantine_link.h
@@ -67,7 +67,8 @@
   /** Sends the crashes of this daemon that are due to be sent or sent again. */
   void SendCrashes();
   void HandleMessage(const quarantine_message& aMessage, const endpoint& aFrom);
-  /** Answers a comparison: sends the quarantines if the digests differ or the asker wants them. */
+  /** Answers a comparison: sends the quarantines if the digests differ or the sender asks for them.
+   */
   void Answer(const quarantine_message& aMessage, const endpoint& aFrom);
 
   forward_state& mState;                ///< State shared by the parts of the daemon.
--- a/src/placement/reading_pauses.cpp
+++ b/src/placement/reading_pauses.cpp
@@ -36,13 +36,13 @@
   const bool isFirst = mRunCount == 0 || aNow - mLastLearned >= kRetention;
   mRunCount = isFirst ? 1 : mRunCount + 1;
   mLastLearned = aNow;
-  const auto told = static_cast<double>(aLongest.count());
+  const auto reported = static_cast<double>(aLongest.count());
   if (isFirst) {
-    mMean = told;
+    mMean = reported;
     mDeviation = 0.0;
     return;
   }
-  const double pause = std::min(told, kMaxPauseFactor * mMean);
+  const double pause = std::min(reported, kMaxPauseFactor * mMean);
   const double weight = std::max(kWeight, 1.0 / mRunCount);
   mDeviation += weight * (std::abs(pause - mMean) - mDeviation);
   mMean += weight * (pause - mMean);
--- a/src/resources/command_type.h
+++ b/src/resources/command_type.h
@@ -28,7 +28,7 @@
 /** Creates or replaces a resource. */
 struct put_command
 {
-  std::string mWriteId;               ///< Chosen by the writer; repeats of it fold once.
+  std::string mWriteId;               ///< Chosen by the writer; repeats of it are applied once.
   resource_key mKey;                  ///< The resource to write.
   std::uint64_t mExpectedVersion = 0; ///< Version that it replaces; 0 for a new resource.
   resource_spec mSpec;                ///< The new spec.
@@ -39,7 +39,7 @@
 /** Deletes a resource. */
 struct delete_command
 {
-  std::string mWriteId;               ///< Chosen by the writer; repeats of it fold once.
+  std::string mWriteId;               ///< Chosen by the writer; repeats of it are applied once.
   resource_key mKey;                  ///< The resource to delete.
   std::uint64_t mExpectedVersion = 0; ///< Version that it deletes.
 
--- a/src/roles/role_plan.cpp
+++ b/src/roles/role_plan.cpp
@@ -147,8 +147,9 @@
   const runner_state* chosen = nullptr;
   for (const runner_state* const engine : aEngines) {
     const auto ordered = mLastOrders.find(engine->mId);
-    const bool rests = ordered != mLastOrders.end() && aNow - ordered->second.mAt < kMinTimeInRole;
-    if (rests || aChosen.count(engine->mId) > 0 || engine->mEntry.mRole != aFrom ||
+    const bool changedLately =
+      ordered != mLastOrders.end() && aNow - ordered->second.mAt < kMinTimeInRole;
+    if (changedLately || aChosen.count(engine->mId) > 0 || engine->mEntry.mRole != aFrom ||
         RoleAfterOrder(*engine, aNow) != aFrom) {
       continue;
     }
--- a/src/state/forward_state.h
+++ b/src/state/forward_state.h
@@ -106,8 +106,8 @@
     }
     mMetrics.CountNotice(aNotice.mLeaves ? "leaves" : "wants_nothing");
     const runner_state* const runner = mRunners.Find(aRunner);
-    const bool rests = aNotice.mWantsNothingFor > duration{ 0 };
-    if (runner == nullptr || (runner->mDraining && !rests)) {
+    const bool wantsPause = aNotice.mWantsNothingFor > duration{ 0 };
+    if (runner == nullptr || (runner->mDraining && !wantsPause)) {
       return;
     }
     LogEvent(log_level::eInfo,
@@ -116,7 +116,7 @@
                { "leaves", aNotice.mLeaves },
                { "wants_nothing_ms", aNotice.mWantsNothingFor.count() / 1000 },
                { "known_to_leave", runner->mDraining } });
-    if (rests) {
+    if (wantsPause) {
       mRunners.NotePause(aRunner, Now() + aNotice.mWantsNothingFor);
     }
     if (aNotice.mLeaves && mRunners.NoteLeaves(aRunner)) {
--- a/tests/unit/placing_test.cpp
+++ b/tests/unit/placing_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr instant kNow = 100s;
-const endpoint kAsker{ "10.0.0.7", 7000 };
+const endpoint kRequester{ "10.0.0.7", 7000 };
 
 engine_traits
 Traits()
@@ -78,7 +78,7 @@
 
   place_reply Ask(const place_request& aRequest, instant aNow = kNow)
   {
-    return mPlaceQueue.Take(aRequest, aRequest.mDaemon, kAsker, aNow);
+    return mPlaceQueue.Take(aRequest, aRequest.mDaemon, kRequester, aNow);
   }
 
   runner_table mRunners;      ///< A prefill and a decode engine.
@@ -106,7 +106,7 @@
   mPlacement.End({ 1 });
   const std::vector<addressed_reply> replies = mPlaceQueue.Tick(kNow + 40ms);
   LONGS_EQUAL(1, replies.size());
-  CHECK(replies[0].mTo == kAsker);
+  CHECK(replies[0].mTo == kRequester);
   CHECK(replies[0].mReply.mState == place_state::ePlaced);
   CHECK(replies[0].mReply.mRun == run_id{ 2 });
   LONGS_EQUAL(3, replies[0].mReply.mRound);
--- a/tests/unit/quarantine_link_test.cpp
+++ b/tests/unit/quarantine_link_test.cpp
@@ -166,14 +166,14 @@
     std::vector<crash_ledger> daemons(kDaemons);
     std::vector<instant> compares;
     const instant began = seconds(100);
-    const quarantine_notice told{ kCrashingRequest,
-                                  quarantine_status::eQuarantined,
-                                  duration{ 0 } };
-    daemons[0].ApplyNotice(told, began);
+    const quarantine_notice notice{ kCrashingRequest,
+                                    quarantine_status::eQuarantined,
+                                    duration{ 0 } };
+    daemons[0].ApplyNotice(notice, began);
     for (std::size_t i = 0; i < kDaemons; ++i) {
       const bool reached = i < kDaemons - kCutOff && draw() >= kLost;
       if (reached) {
-        daemons[i].ApplyNotice(told, began);
+        daemons[i].ApplyNotice(notice, began);
       }
       compares.push_back(began + FromSeconds(ToSeconds(kCompareInterval) * 1.5 * draw()));
     }
--- a/tests/unit/quarantine_test.cpp
+++ b/tests/unit/quarantine_test.cpp
@@ -249,9 +249,9 @@
 
 TEST(quarantine, AQuarantineFromAnotherDaemonLastsForItsRemainingTime)
 {
-  const quarantine_notice told{ kPoison, quarantine_status::eQuarantined, seconds(500) };
-  CHECK_TRUE(mLedger.ApplyNotice(told, mNow));
-  CHECK_FALSE(mLedger.ApplyNotice(told, mNow));
+  const quarantine_notice notice{ kPoison, quarantine_status::eQuarantined, seconds(500) };
+  CHECK_TRUE(mLedger.ApplyNotice(notice, mNow));
+  CHECK_FALSE(mLedger.ApplyNotice(notice, mNow));
   CHECK_TRUE(IsQuarantined(kPoison));
   AdvanceTime(kQuarantineDuration - seconds(500));
   CHECK_FALSE(IsQuarantined(kPoison));
@@ -289,14 +289,14 @@
 {
   run_message message;
   message.mDaemon = 5;
-  quarantine_message& told = message.mQuarantine.emplace();
-  told.mCrashes.push_back({ kPoison, { 77 }, true });
-  told.mServed.push_back({ 9 });
-  told.mNotices.push_back({ kPoison, quarantine_status::eQuarantined, seconds(3) });
-  told.mNotices.push_back({ { 11 }, quarantine_status::eSuspected, seconds(1) });
-  told.mSenderDigest = 12345;
-  told.mAlwaysAnswer = true;
-  told.mSenderStateReceived = true;
+  quarantine_message& sent = message.mQuarantine.emplace();
+  sent.mCrashes.push_back({ kPoison, { 77 }, true });
+  sent.mServed.push_back({ 9 });
+  sent.mNotices.push_back({ kPoison, quarantine_status::eQuarantined, seconds(3) });
+  sent.mNotices.push_back({ { 11 }, quarantine_status::eSuspected, seconds(1) });
+  sent.mSenderDigest = 12345;
+  sent.mAlwaysAnswer = true;
+  sent.mSenderStateReceived = true;
   const std::optional<run_message> read = DecodeRunMessage(Encode(message, mNow), mNow);
   CHECK_TRUE(read.has_value());
   CHECK_TRUE(*read == message);
@@ -306,9 +306,9 @@
 {
   run_message message;
   message.mDaemon = 5;
-  quarantine_message& told = message.mQuarantine.emplace();
-  told.mCrashes.push_back({ kPoison, { 77 }, true });
-  told.mNotices.push_back({ kPoison, quarantine_status::eQuarantined, seconds(3) });
+  quarantine_message& sent = message.mQuarantine.emplace();
+  sent.mCrashes.push_back({ kPoison, { 77 }, true });
+  sent.mNotices.push_back({ kPoison, quarantine_status::eQuarantined, seconds(3) });
   const std::string whole = Encode(message, mNow);
   std::mt19937 random(3);
   for (int i = 0; i < 4000; ++i) {
