--- a/src/roles/role_plan.cpp
+++ b/src/roles/role_plan.cpp
@@ -79,7 +79,7 @@
   const bool measured = speeds.mReadTokensPerMicro > 0.0 && speeds.mMicrosPerToken > 0.0;
   const auto work = mWork.find(aService);
   if (measured && aMemory > 0 && work != mWork.end() && work->second.Known(aNow)) {
-    return work->second.WantedReaders(aSplit, speeds, static_cast<double>(aMemory));
+    return work->second.ReadersForWork(aSplit, speeds, static_cast<double>(aMemory));
   }
   const auto all = static_cast<double>(aSplit.mReading + aSplit.mGenerating);
   return std::max<std::int64_t>(1, std::lround(mPrefillShare * all));
--- a/src/roles/role_plan.h
+++ b/src/roles/role_plan.h
@@ -60,7 +60,8 @@
   void AddWorkSample(const std::string& aService,
                      const std::vector<const runner_state*>& aEngines,
                      instant aNow);
-  /** @return wanted number of prefill engines of a service. */
+  /** @return wanted number of prefill engines of a service: by its measured work, or the configured
+   * share while too little is known. */
   std::int64_t WantedReaders(const std::string& aService,
                              const role_split& aSplit,
                              std::uint64_t aMemory,
--- a/src/roles/role_work.cpp
+++ b/src/roles/role_work.cpp
@@ -75,7 +75,9 @@
 }
 
 std::int64_t
-role_work::WantedReaders(const role_split& aNow, const engine_speeds& aSpeeds, double aMemory) const
+role_work::ReadersForWork(const role_split& aNow,
+                          const engine_speeds& aSpeeds,
+                          double aMemory) const
 {
   const role_demand need{ mReadRate / aSpeeds.mReadTokensPerMicro / kMicrosPerSecond,
                           mHeldRate * aSpeeds.mMicrosPerToken / (kUsableMemoryShare * aMemory) /
--- a/src/roles/role_work.h
+++ b/src/roles/role_work.h
@@ -39,9 +39,9 @@
    * role, or the current one if the gain isn't worth the cost of a change.
    * @param aMemory tokens that fit into an engine's memory.
    */
-  std::int64_t WantedReaders(const role_split& aNow,
-                             const engine_speeds& aSpeeds,
-                             double aMemory) const;
+  std::int64_t ReadersForWork(const role_split& aNow,
+                              const engine_speeds& aSpeeds,
+                              double aMemory) const;
 
 private:
   instant mFirstWork{ 0 };      ///< Time of the first sample with work.
