--- a/src/links/quarantine_link.cpp
+++ b/src/links/quarantine_link.cpp
@@ -62,11 +62,11 @@
   if (changed.empty()) {
     return;
   }
-  quarantine_message report;
+  quarantine_message sent;
   for (const quarantine_notice& notice : changed) {
     const bool quarantined = notice.mStatus == quarantine_status::eQuarantined;
-    if (report.mNotices.size() < kMaxNoticesPerDatagram) {
-      report.mNotices.push_back(notice);
+    if (sent.mNotices.size() < kMaxNoticesPerDatagram) {
+      sent.mNotices.push_back(notice);
     }
     if (!quarantined) {
       continue;
@@ -81,7 +81,7 @@
     }
   }
   run_message message;
-  message.mQuarantine = std::move(report);
+  message.mQuarantine = std::move(sent);
   mLink.Broadcast(std::move(message));
 }
 
@@ -92,17 +92,17 @@
   while (!mRecentCrashes.empty() && now - mRecentCrashes.front().mAt >= kCrashResendPeriod) {
     mRecentCrashes.pop_front();
   }
-  quarantine_message report;
+  quarantine_message sent;
   for (own_crash& crash : mRecentCrashes) {
     const bool due = crash.mSentAt == instant{ 0 } || now - crash.mSentAt >= kCrashResendInterval;
     if (due) {
-      report.mCrashes.push_back(crash.mReport);
+      sent.mCrashes.push_back(crash.mReport);
       crash.mSentAt = now;
     }
   }
-  if (!report.mCrashes.empty()) {
+  if (!sent.mCrashes.empty()) {
     run_message message;
-    message.mQuarantine = std::move(report);
+    message.mQuarantine = std::move(sent);
     mState.mTellPlacers(std::move(message));
   }
 }
--- a/tests/unit/quarantine_link_test.cpp
+++ b/tests/unit/quarantine_link_test.cpp
@@ -166,14 +166,14 @@
     std::vector<crash_ledger> daemons(kDaemons);
     std::vector<instant> compares;
     const instant began = seconds(100);
-    const quarantine_notice notice{ kCrashingRequest,
-                                    quarantine_status::eQuarantined,
-                                    duration{ 0 } };
-    daemons[0].ApplyNotice(notice, began);
+    const quarantine_notice firstNotice{ kCrashingRequest,
+                                         quarantine_status::eQuarantined,
+                                         duration{ 0 } };
+    daemons[0].ApplyNotice(firstNotice, began);
     for (std::size_t i = 0; i < kDaemons; ++i) {
       const bool reached = i < kDaemons - kCutOff && draw() >= kLost;
       if (reached) {
-        daemons[i].ApplyNotice(notice, began);
+        daemons[i].ApplyNotice(firstNotice, began);
       }
       compares.push_back(began + FromSeconds(ToSeconds(kCompareInterval) * 1.5 * draw()));
     }
