--- a/src/links/quarantine_link.cpp
+++ b/src/links/quarantine_link.cpp
@@ -62,11 +62,11 @@
   if (changed.empty()) {
     return;
   }
-  quarantine_message told;
+  quarantine_message sent;
   for (const quarantine_notice& notice : changed) {
     const bool quarantined = notice.mStatus == quarantine_status::eQuarantined;
-    if (told.mNotices.size() < kMaxNoticesPerDatagram) {
-      told.mNotices.push_back(notice);
+    if (sent.mNotices.size() < kMaxNoticesPerDatagram) {
+      sent.mNotices.push_back(notice);
     }
     if (!quarantined) {
       continue;
@@ -81,7 +81,7 @@
     }
   }
   run_message message;
-  message.mQuarantine = std::move(told);
+  message.mQuarantine = std::move(sent);
   mLink.Broadcast(std::move(message));
 }
 
@@ -92,17 +92,17 @@
   while (!mRecentCrashes.empty() && now - mRecentCrashes.front().mAt >= kCrashResendPeriod) {
     mRecentCrashes.pop_front();
   }
-  quarantine_message told;
+  quarantine_message sent;
   for (own_crash& crash : mRecentCrashes) {
     const bool due = crash.mSentAt == instant{ 0 } || now - crash.mSentAt >= kCrashResendInterval;
     if (due) {
-      told.mCrashes.push_back(crash.mReport);
+      sent.mCrashes.push_back(crash.mReport);
       crash.mSentAt = now;
     }
   }
-  if (!told.mCrashes.empty()) {
+  if (!sent.mCrashes.empty()) {
     run_message message;
-    message.mQuarantine = std::move(told);
+    message.mQuarantine = std::move(sent);
     mState.mTellPlacers(std::move(message));
   }
 }
@@ -116,11 +116,11 @@
       run_message message;
       quarantine_message& question = message.mQuarantine.emplace();
       question.mSenderDigest = mState.mCrashes.Digest(mState.Now());
-      question.mAlwaysAnswer = !mSynced;
+      question.mAlwaysAnswer = !mStateReceived;
       mLink.SendTo(std::move(message), *other);
     }
     const double spread = 0.5 + mState.RandomFraction();
-    const duration every = mSynced ? kCompareInterval : kInitialCompareInterval;
+    const duration every = mStateReceived ? kCompareInterval : kInitialCompareInterval;
     co_await Sleep(FromSeconds(ToSeconds(every) * spread));
   }
 }
@@ -146,7 +146,7 @@
                  { "by", ToText(aFrom) } });
     }
   }
-  mSynced = mSynced || aMessage.mSynchronized;
+  mStateReceived = mStateReceived || aMessage.mSenderStateReceived;
   if (aMessage.mSenderDigest) {
     Answer(aMessage, aFrom);
   }
@@ -163,7 +163,7 @@
   run_message message;
   quarantine_message& answer = message.mQuarantine.emplace();
   answer.mNotices = mState.mCrashes.NewestQuarantined(now, kMaxNoticesPerDatagram);
-  answer.mSynchronized = mSynced;
+  answer.mSenderStateReceived = mStateReceived;
   mLink.SendTo(std::move(message), aFrom);
 }
 
--- a/src/links/quarantine_link.h
+++ b/src/links/quarantine_link.h
@@ -42,9 +42,9 @@
   /** Records that a request was served completely. */
   void NoteServed(request_fingerprint aRequest);
   /** @return whether this daemon has received the quarantines that existed when it started. */
-  bool IsSynced() const { return mSynced; }
+  bool HasReceivedState() const { return mStateReceived; }
   /** Marks these quarantines as received. */
-  void MarkSynced() { mSynced = true; }
+  void MarkStateReceived() { mStateReceived = true; }
   /** @param aAction called with each request that this daemon puts into quarantine. */
   void OnQuarantined(std::function<void(request_fingerprint)> aAction)
   {
@@ -67,7 +67,8 @@
   /** Sends the crashes of this daemon that are due to be sent or sent again. */
   void SendCrashes();
   void HandleMessage(const quarantine_message& aMessage, const endpoint& aFrom);
-  /** Answers a comparison: sends the quarantines if the digests differ or the asker wants them. */
+  /** Answers a comparison: sends the quarantines if the digests differ or the sender asks for them.
+   */
   void Answer(const quarantine_message& aMessage, const endpoint& aFrom);
 
   forward_state& mState;                ///< State shared by the parts of the daemon.
@@ -75,7 +76,7 @@
   std::deque<own_crash> mRecentCrashes; ///< This daemon's crashes to send again, oldest first; at
                                         ///< most kMaxCrashesResent.
   std::function<void(request_fingerprint)> mOnQuarantined; ///< May be empty.
-  bool mSynced = false;                                    ///< See IsSynced().
+  bool mStateReceived = false;                             ///< See HasReceivedState().
 };
 
 } // namespace dunehook
--- a/tests/platform/gateway_test.cpp
+++ b/tests/platform/gateway_test.cpp
@@ -258,13 +258,13 @@
   CHECK(timeLeft(1) < timeLeft(0));
 }
 
-TEST(gateway, AReaderThatIsNotReachedCostsNoRepeats)
+TEST(gateway, AReaderThatIsNotReachedCostsNoRetries)
 {
   mBed.ListUnreachable("prefill-1", { "tutor", "prefill" });
   mBed.AddRunner("decode-1", { "tutor", "decode" });
   mBed.PutConfig(1);
   mBed.StartDaemon();
-  // Each few requests meet the dead engine; repeats for all of them aren't in the budget.
+  // Each few requests meet the dead engine; retries for all of them aren't in the budget.
   for (int i = 0; i < 25; ++i) {
     const std::string id = "g" + std::to_string(i);
     const answer got =
@@ -433,7 +433,7 @@
 TEST(gateway, AnEntryThatIsOutOfDateIsAskedOnce)
 {
   mBed.StartUsual();
-  mBed.ListAs("ended", "desk-2"); // A life that has ended; desk-2 has its address now.
+  mBed.ListAs("ended", "desk-2"); // An incarnation that has ended; desk-2 has its address now.
   CHECK(mBed.Daemon().WaitForLine("\"runner\":\"ended\"") != "");
   for (int i = 0; i < 12; ++i) {
     const std::string id = "r" + std::to_string(i);
--- a/tests/unit/quarantine_link_test.cpp
+++ b/tests/unit/quarantine_link_test.cpp
@@ -88,8 +88,8 @@
   }
   static void ReportThreeCrashes(node & aNode)
   {
-    for (std::uint64_t life = 1; life <= kCrashesToQuarantine; ++life) {
-      aNode.mQuarantines.NoteCrash({ kCrashingRequest, { life }, false });
+    for (std::uint64_t incarnation = 1; incarnation <= kCrashesToQuarantine; ++incarnation) {
+      aNode.mQuarantines.NoteCrash({ kCrashingRequest, { incarnation }, false });
     }
   }
 };
@@ -166,14 +166,14 @@
     std::vector<crash_ledger> daemons(kDaemons);
     std::vector<instant> compares;
     const instant began = seconds(100);
-    const quarantine_notice told{ kCrashingRequest,
-                                  quarantine_status::eQuarantined,
-                                  duration{ 0 } };
-    daemons[0].ApplyNotice(told, began);
+    const quarantine_notice firstNotice{ kCrashingRequest,
+                                         quarantine_status::eQuarantined,
+                                         duration{ 0 } };
+    daemons[0].ApplyNotice(firstNotice, began);
     for (std::size_t i = 0; i < kDaemons; ++i) {
       const bool reached = i < kDaemons - kCutOff && draw() >= kLost;
       if (reached) {
-        daemons[i].ApplyNotice(told, began);
+        daemons[i].ApplyNotice(firstNotice, began);
       }
       compares.push_back(began + FromSeconds(ToSeconds(kCompareInterval) * 1.5 * draw()));
     }
