--- a/src/callers/completion_request.cpp
+++ b/src/callers/completion_request.cpp
@@ -15,7 +15,7 @@
 ParseCompletion(std::string_view aBody, std::string& aDetail)
 {
   using json = nlohmann::json;
-  constexpr std::uint32_t kMostTokens = 1'000'000;
+  constexpr std::uint32_t kMaxTokensLimit = 1'000'000;
   const json body = json::parse(aBody, nullptr, false);
   if (!body.is_object()) {
     aDetail = "the body isn't a JSON object";
@@ -31,7 +31,7 @@
     aDetail = "model and prompt must be texts, max_tokens a number, stream true or false";
     return make_error_code(errc::eBadRequest);
   }
-  if (request.mPrompt.empty() || request.mMaxTokens == 0 || request.mMaxTokens > kMostTokens) {
+  if (request.mPrompt.empty() || request.mMaxTokens == 0 || request.mMaxTokens > kMaxTokensLimit) {
     aDetail = "the prompt must not be empty and max_tokens must be from 1 to 1000000";
     return make_error_code(errc::eBadRequest);
   }
@@ -49,13 +49,13 @@
 {
   std::vector<prefix_block> blocks;
   std::uint64_t hash = 0;
-  const std::size_t count = std::min(aPrompt.size() / kBlockBytes, kMaxBlocks);
+  const std::size_t count = std::min(aPrompt.size() / kPrefixBlockBytes, kMaxPrefixBlocks);
   for (std::size_t index = 0; index < count; ++index) {
-    hash = HashBytes(aPrompt.substr(index * kBlockBytes, kBlockBytes), hash);
+    hash = HashBytes(aPrompt.substr(index * kPrefixBlockBytes, kPrefixBlockBytes), hash);
     const std::size_t number = index + 1;
-    const bool told = std::has_single_bit(number) || number == count;
-    if (told) {
-      const auto tokens = static_cast<std::uint32_t>(number * kBlockBytes / kBytesPerToken);
+    const bool isIncluded = std::has_single_bit(number) || number == count;
+    if (isIncluded) {
+      const auto tokens = static_cast<std::uint32_t>(number * kPrefixBlockBytes / kBytesPerToken);
       blocks.push_back({ hash, tokens });
     }
   }
--- a/src/callers/completion_session.cpp
+++ b/src/callers/completion_session.cpp
@@ -15,12 +15,12 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kIdleResend = 500ms;  ///< A waiting request is told to the owner again.
-constexpr duration kCancelLimit = 500ms; ///< Time limit of a cancel.
-constexpr duration kCancelPause = 200ms; ///< Pause between tries of a cancel.
-constexpr duration kEndLimit = 300ms;    ///< Longest wait for an older attempt to end.
-constexpr duration kRetryLater = 1s;
-constexpr int kCancelTries = 50;
+constexpr duration kResendInterval = 500ms;      ///< A waiting request is told to the owner again.
+constexpr duration kCancelTimeout = 500ms;       ///< Time limit of a cancel.
+constexpr duration kCancelRetryInterval = 200ms; ///< Pause between tries of a cancel.
+constexpr duration kTakeOverTimeout = 300ms;     ///< Longest wait for an older attempt to end.
+constexpr duration kDefaultRetryAfter = 1s;
+constexpr int kMaxCancelTries = 50;
 
 } // namespace
 
@@ -35,15 +35,15 @@
   , mRequest(std::move(aRequest))
   , mRouteName(std::move(aRouteName))
   , mRoute(aRoute)
-  , mTargets(aTargets)
+  , mClassTargets(aTargets)
   , mCell{ aRoute.mPrefillPool, aRoute.mDecodePool, aRoute.mLink }
   , mAttempt(aFrontend.NextAttempt())
   , mArrived(Now())
   , mDeadline(mArrived + std::chrono::milliseconds(aRoute.mTimeoutMs))
-  , mWake(aFrontend.mIo)
-  , mEventHead(R"(data: {"object":"text_completion","id":")" + ToText(mAttempt) + R"(","model":)" +
-               json(mRequest.mModel).dump(-1, ' ', false, json::error_handler_t::replace) +
-               R"(,"token":)")
+  , mMessageArrived(aFrontend.mIo)
+  , mEventPrefix(
+      R"(data: {"object":"text_completion","id":")" + ToText(mAttempt) + R"(","model":)" +
+      json(mRequest.mModel).dump(-1, ' ', false, json::error_handler_t::replace) + R"(,"token":)")
 {
 }
 
@@ -52,7 +52,7 @@
 {
   return { mAttempt,
            mRoute.mClass,
-           mTargets,
+           mClassTargets,
            CountTokens(mRequest.mPrompt) + mNextIndex,
            mRequest.mMaxTokens,
            PrefixBlocks(mRequest.mPrompt) };
@@ -102,7 +102,7 @@
   } else {
     const json message{ { "key", scoped }, { "attempt", ToText(mAttempt) } };
     const result<json> answer =
-      co_await mFrontend.mPeers.Call(owner, "take_over", message, kEndLimit);
+      co_await mFrontend.mPeers.Call(owner, "take_over", message, kTakeOverTimeout);
     if (answer && answer.value().contains("older")) {
       const auto parsed = ParseAttempt(answer.value().value("older", std::string()));
       older = parsed ? std::optional(parsed.value()) : std::nullopt;
@@ -119,7 +119,7 @@
   }
   if (const member_info* const member = mFrontend.mMembers.Find(older->mIncarnation)) {
     const json message{ { "attempt", ToText(*older) } };
-    co_await mFrontend.mPeers.Call(member_info(*member), "end_attempt", message, kEndLimit);
+    co_await mFrontend.mPeers.Call(member_info(*member), "end_attempt", message, kTakeOverTimeout);
   }
 }
 
@@ -133,22 +133,22 @@
                       make_error_code(errc::eDeadlinePassed),
                       "the call's time limit has passed",
                       OutcomeSoFar(),
-                      kRetryLater });
+                      kDefaultRetryAfter });
       co_return;
     }
-    if (mInbox.empty()) {
-      co_await mWake.Wait(std::min<duration>(kIdleResend, mDeadline - Now()));
+    if (mPendingMessages.empty()) {
+      co_await mMessageArrived.Wait(std::min<duration>(kResendInterval, mDeadline - Now()));
     }
-    if (mInbox.empty()) {
+    if (mPendingMessages.empty()) {
       const attempt_entry* const entry = mFrontend.mAttempts.Find(mAttempt);
       if (entry->mStage == request_stage::eWaiting) {
         co_await Report(DescribeRequest()); // An owner that knows it takes no notice.
       }
       continue;
     }
-    session_message message = std::move(mInbox.front());
-    mInbox.pop_front();
-    co_await std::visit([this](auto& aOne) { return Take(std::move(aOne)); }, message);
+    session_message message = std::move(mPendingMessages.front());
+    mPendingMessages.pop_front();
+    co_await std::visit([this](auto& aMessage) { return Handle(std::move(aMessage)); }, message);
   }
 }
 
@@ -160,8 +160,8 @@
   if (urgent && mConnection) {
     mConnection->Abort();
   }
-  mInbox.push_back(std::move(aMessage));
-  mWake.Notify();
+  mPendingMessages.push_back(std::move(aMessage));
+  mMessageArrived.Notify();
 }
 
 void
@@ -176,7 +176,7 @@
 call_outcome
 completion_session::OutcomeSoFar() const
 {
-  return mTouchedRunner ? call_outcome::eUnknown : call_outcome::eNotRun;
+  return mMayHaveReachedRunner ? call_outcome::eUnknown : call_outcome::eNotRun;
 }
 
 asio::awaitable<void>
@@ -184,8 +184,11 @@
 {
   const result<void> sent = co_await mFrontend.mOwners.Send(mCell, std::move(aEvent));
   if (!sent && !mEnded) {
-    co_await Fail(
-      { 503, sent.error(), "no host decides for this model now", OutcomeSoFar(), kRetryLater });
+    co_await Fail({ 503,
+                    sent.error(),
+                    "no host decides for this model now",
+                    OutcomeSoFar(),
+                    kDefaultRetryAfter });
   }
 }
 
@@ -199,7 +202,7 @@
 }
 
 asio::awaitable<void>
-completion_session::Take(addressed_order aOrder)
+completion_session::Handle(addressed_order aOrder)
 {
   if (const auto* const prefill = std::get_if<start_prefill>(&aOrder.mOrder)) {
     BeginPrefill(*prefill, aOrder.mAddress);
@@ -234,7 +237,7 @@
 }
 
 asio::awaitable<void>
-completion_session::Take(caller_left /*aMessage*/)
+completion_session::Handle(caller_left /*aMessage*/)
 {
   mEnded = true;
   mFrontend.mMetrics.CountCall("completion", "caller-gone");
@@ -243,7 +246,7 @@
 }
 
 asio::awaitable<void>
-completion_session::Take(taken_over /*aMessage*/)
+completion_session::Handle(taken_over /*aMessage*/)
 {
   mEnded = true;
   mFrontend.mMetrics.CountCall("completion", "taken-over");
@@ -277,11 +280,11 @@
 completion_session::CancelAt(endpoint aEngine)
 {
   const auto self = shared_from_this();
-  for (int tries = 0; tries < kCancelTries; ++tries) {
-    if (co_await mFrontend.mEngines.Cancel(aEngine, mAttempt, kCancelLimit)) {
+  for (int tries = 0; tries < kMaxCancelTries; ++tries) {
+    if (co_await mFrontend.mEngines.Cancel(aEngine, mAttempt, kCancelTimeout)) {
       co_return;
     }
-    co_await Sleep(kCancelPause);
+    co_await Sleep(kCancelRetryInterval);
   }
 }
 
@@ -295,8 +298,8 @@
     co_return;
   }
   const fold& state = aFrontend.mLog.State();
-  for (const auto& [key, one] : state.Resources()) {
-    const auto* const route = std::get_if<route_spec>(&one.mSpec);
+  for (const auto& [key, resource] : state.Resources()) {
+    const auto* const route = std::get_if<route_spec>(&resource.mSpec);
     if (route == nullptr || route->mModel != request.value().mModel) {
       continue;
     }
--- a/src/callers/completion_session.h
+++ b/src/callers/completion_session.h
@@ -66,11 +66,11 @@
 
   asio::awaitable<void> TakeOverKey();
   asio::awaitable<void> Serve();
-  asio::awaitable<void> Take(addressed_order aOrder);
-  asio::awaitable<void> Take(prefill_ended aMessage);
-  asio::awaitable<void> Take(chunk_ended aMessage);
-  asio::awaitable<void> Take(caller_left aMessage);
-  asio::awaitable<void> Take(taken_over aMessage);
+  asio::awaitable<void> Handle(addressed_order aOrder);
+  asio::awaitable<void> Handle(prefill_ended aMessage);
+  asio::awaitable<void> Handle(chunk_ended aMessage);
+  asio::awaitable<void> Handle(caller_left aMessage);
+  asio::awaitable<void> Handle(taken_over aMessage);
   void BeginPrefill(const start_prefill& aOrder, const endpoint& aAddress);
   void BeginChunk(const start_chunk& aOrder, const endpoint& aAddress);
   asio::awaitable<void> RunPrefill(start_prefill aOrder, endpoint aAddress);
@@ -92,26 +92,26 @@
   call_outcome OutcomeSoFar() const;
   static instant Now() { return boot_clock_source().Now(); }
 
-  frontend_context& mFrontend;        ///< The daemon.
-  exchange_ptr mExchange;             ///< The caller.
-  completion_request mRequest;        ///< What the caller asks for.
-  std::string mRouteName;             ///< The route's name.
-  route_spec mRoute;                  ///< The route as it was when the call came.
-  priority_class_spec mTargets;       ///< Targets of its class.
-  cell_key mCell;                     ///< Who is asked for orders.
-  attempt_id mAttempt;                ///< Identifies the call.
-  instant mArrived;                   ///< When the call came.
-  instant mDeadline;                  ///< Given up after this.
-  std::deque<session_message> mInbox; ///< Messages to take.
-  wake_list mWake;                    ///< Woken when mInbox gets a message.
-  used_engine mPrefill;               ///< Prefill engine in use.
-  used_engine mDecode;                ///< Decode engine in use.
-  http_connection_ptr mConnection;    ///< Connection in use, to be aborted.
-  std::string mEventHead;             ///< Start of every token's event, up to its index.
-  std::uint64_t mKvBytes = 0;         ///< Size of the prefill result.
+  frontend_context& mFrontend;                  ///< The daemon.
+  exchange_ptr mExchange;                       ///< The caller.
+  completion_request mRequest;                  ///< What the caller asks for.
+  std::string mRouteName;                       ///< The route's name.
+  route_spec mRoute;                            ///< The route as it was when the call came.
+  priority_class_spec mClassTargets;            ///< Targets of its class.
+  cell_key mCell;                               ///< Who is asked for orders.
+  attempt_id mAttempt;                          ///< Identifies the call.
+  instant mArrived;                             ///< When the call came.
+  instant mDeadline;                            ///< Given up after this.
+  std::deque<session_message> mPendingMessages; ///< Messages to take.
+  wake_list mMessageArrived;                    ///< Woken when mPendingMessages gets a message.
+  used_engine mPrefill;                         ///< Prefill engine in use.
+  used_engine mDecode;                          ///< Decode engine in use.
+  http_connection_ptr mConnection;              ///< Connection in use, to be aborted.
+  std::string mEventPrefix;                     ///< Start of every token's event, up to its index.
+  std::uint64_t mKvBytes = 0;                   ///< Size of the prefill result.
   std::uint32_t mNextIndex = 0;       ///< Index of the next token to write; never goes down.
   std::string mText;                  ///< Tokens so far, for the whole answer and for resuming.
-  bool mTouchedRunner = false;        ///< Some byte of the call may have reached a runner.
+  bool mMayHaveReachedRunner = false; ///< Some byte of the call may have reached a runner.
   bool mEnded = false;                ///< The final answer was given, or nobody waits for it.
 };
 
--- a/src/callers/completion_steps.cpp
+++ b/src/callers/completion_steps.cpp
@@ -12,8 +12,8 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kEngineLimit = 20s; ///< Longest prefill or piece of a transfer.
-constexpr duration kTokenLimit = 5s;   ///< Longest silence of a token stream.
+constexpr duration kEngineCallTimeout = 20s; ///< Longest prefill or piece of a transfer.
+constexpr duration kTokenTimeout = 5s;       ///< Longest silence of a token stream.
 
 } // namespace
 
@@ -27,7 +27,7 @@
   FreeEngine(mPrefill);
   FreeEngine(mDecode);
   mPrefill = { aOrder.mEngine, aAddress };
-  mTouchedRunner = true;
+  mMayHaveReachedRunner = true;
   SetStage(request_stage::ePrefilling);
   Spawn(mFrontend.mIo, RunPrefill(aOrder, aAddress));
 }
@@ -38,13 +38,13 @@
   const auto self = shared_from_this();
   const prefill_call call{ mAttempt, mRequest.mPrompt, mText, aOrder.mPriority };
   const result<prefill_answer> answer =
-    co_await mFrontend.mEngines.Prefill(aAddress, call, kEngineLimit, mConnection);
+    co_await mFrontend.mEngines.Prefill(aAddress, call, kEngineCallTimeout, mConnection);
   mConnection.reset();
   Post(prefill_ended{ aOrder.mEngine, answer });
 }
 
 asio::awaitable<void>
-completion_session::Take(prefill_ended aMessage)
+completion_session::Handle(prefill_ended aMessage)
 {
   if (aMessage.mEngine != mPrefill.mId) {
     co_return;
@@ -77,12 +77,13 @@
 {
   const auto self = shared_from_this();
   const import_call call{ mAttempt, aFrom, aOrder.mOffset, aOrder.mBytes, mKvBytes };
-  const result<void> answer = co_await mFrontend.mEngines.Import(aAddress, call, kEngineLimit);
+  const result<void> answer =
+    co_await mFrontend.mEngines.Import(aAddress, call, kEngineCallTimeout);
   Post(chunk_ended{ aOrder.mEngine, aOrder.mLast, answer });
 }
 
 asio::awaitable<void>
-completion_session::Take(chunk_ended aMessage)
+completion_session::Handle(chunk_ended aMessage)
 {
   if (aMessage.mEngine != mDecode.mId) {
     co_return;
@@ -112,7 +113,7 @@
   const engine_id engine = mDecode.mId;
   const decode_call call{ mAttempt, mNextIndex, mRequest.mMaxTokens };
   const result<http_connection_ptr> connection =
-    co_await mFrontend.mEngines.Decode(mDecode.mAddress, call, kTokenLimit);
+    co_await mFrontend.mEngines.Decode(mDecode.mAddress, call, kTokenTimeout);
   result<void> read = boost::outcome_v2::success();
   if (connection) {
     mConnection = connection.value();
@@ -146,7 +147,7 @@
   bool more = true;
   while (more) {
     std::string bytes;
-    const result<bool> read = co_await aConnection->ReadSome(bytes, kTokenLimit);
+    const result<bool> read = co_await aConnection->ReadSome(bytes, kTokenTimeout);
     std::vector<token> tokens;
     const result<void> parsed = parser.Take(bytes, tokens);
     if (!parsed) {
@@ -171,7 +172,7 @@
 completion_session::TokenEvent(const token& aToken) const
 {
   // Put together from parts: a tree of JSON for each token costs most of a stream's processor time.
-  std::string event = mEventHead;
+  std::string event = mEventPrefix;
   event += std::to_string(aToken.mIndex);
   event += R"(,"choices":[{"index":0,"finish_reason":null,"text":)";
   event += json(aToken.mText).dump(-1, ' ', false, json::error_handler_t::replace);
--- a/src/callers/completion_type.h
+++ b/src/callers/completion_type.h
@@ -18,9 +18,9 @@
 /** Bytes of prompt that count as one token, since no tokenizer is at hand. */
 inline constexpr std::size_t kBytesPerToken = 4;
 /** Bytes of one prefix block. */
-inline constexpr std::size_t kBlockBytes = 1024;
+inline constexpr std::size_t kPrefixBlockBytes = 1024;
 /** Prefix blocks looked at. */
-inline constexpr std::size_t kMaxBlocks = 64;
+inline constexpr std::size_t kMaxPrefixBlocks = 64;
 /** Tokens generated if the caller names no limit. */
 inline constexpr std::uint32_t kDefaultMaxTokens = 64;
 
@@ -44,8 +44,8 @@
 CountTokens(std::string_view aText);
 
 /**
- * @return prefixes of a prompt, shortest first: those of 1, 2, 4, ... blocks of kBlockBytes, and
- * that of all whole blocks. Few, since each goes to the owner with the request.
+ * @return prefixes of a prompt, shortest first: those of 1, 2, 4, ... blocks of kPrefixBlockBytes,
+ * and that of all whole blocks. Few, since each goes to the owner with the request.
  */
 std::vector<prefix_block>
 PrefixBlocks(std::string_view aPrompt);
--- a/src/callers/frontend.cpp
+++ b/src/callers/frontend.cpp
@@ -17,7 +17,7 @@
                                                          "not-run",
                                                          "unknown",
                                                          "in-stream" };
-constexpr duration kDrainRetry = std::chrono::seconds(1);
+constexpr duration kDrainRetryAfter = std::chrono::seconds(1);
 constexpr std::string_view kCompletionsPath = "/v1/completions";
 
 gauge_values
@@ -44,8 +44,8 @@
 {
   std::string best;
   std::size_t length = 0;
-  for (const auto& [key, one] : aState.Resources()) {
-    const auto* const route = std::get_if<route_spec>(&one.mSpec);
+  for (const auto& [key, resource] : aState.Resources()) {
+    const auto* const route = std::get_if<route_spec>(&resource.mSpec);
     if (route != nullptr && !route->mPathPrefix.empty() && aPath.starts_with(route->mPathPrefix) &&
         route->mPathPrefix.size() > length) {
       best = key.mName;
@@ -95,7 +95,7 @@
                             make_error_code(errc::eDraining),
                             "this host takes no new calls now",
                             call_outcome::eNotRun,
-                            kDrainRetry });
+                            kDrainRetryAfter });
     co_return;
   }
   const std::size_t daemons = aFrontend.mMembers.CountServing();
--- a/src/callers/frontend_metrics.cpp
+++ b/src/callers/frontend_metrics.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 const prometheus::Histogram::BucketBoundaries&
-FirstTokenBounds()
+FirstTokenBuckets()
 {
   static const prometheus::Histogram::BucketBoundaries sBounds{ 0.02, 0.05, 0.1, 0.2, 0.4, 0.8,
                                                                 1.2,  1.6,  2.4, 5.0, 10.0 };
@@ -55,7 +55,7 @@
 void
 frontend_metrics::ObserveFirstToken(const std::string& aClass, double aSeconds)
 {
-  mFirstToken->Add({ { "class", aClass } }, FirstTokenBounds()).Observe(aSeconds);
+  mFirstToken->Add({ { "class", aClass } }, FirstTokenBuckets()).Observe(aSeconds);
 }
 
 std::string
--- a/src/callers/service_call.cpp
+++ b/src/callers/service_call.cpp
@@ -19,11 +19,11 @@
 using namespace std::chrono_literals;
 
 constexpr int kMaxTries = 3;
-constexpr duration kConnectLimit = 1s;
-constexpr duration kClaimLimit = 3s;     ///< Longest wait for a claim to show in the fold.
-constexpr duration kStatusLimit = 300ms; ///< Longest wait for the holder of a key.
-constexpr duration kKeyRetry = 1s;
-constexpr duration kNoRunnerRetry = 2s;
+constexpr duration kConnectTimeout = 1s;
+constexpr duration kClaimTimeout = 3s;          ///< Longest wait for a claim to show in the fold.
+constexpr duration kClaimStatusTimeout = 300ms; ///< Longest wait for the holder of a key.
+constexpr duration kKeyRetryAfter = 1s;
+constexpr duration kNoRunnerRetryAfter = 2s;
 constexpr std::string_view kRefusedHeader = "X-Runner-Refused";
 
 /** What one try at a runner gave. */
@@ -45,7 +45,7 @@
     : mFrontend(aFrontend)
     , mExchange(std::move(aExchange))
     , mRoute(aRoute)
-    , mName(std::move(aName))
+    , mRouteName(std::move(aName))
     , mAttempt(aFrontend.NextAttempt())
     , mDeadline(Now() + std::chrono::milliseconds(aRoute.mTimeoutMs))
   {
@@ -57,9 +57,9 @@
     if (mRoute.mRepeatable) {
       co_await SendRepeatable();
     } else if (key.empty()) {
-      co_await SendOnce("");
+      co_await SendAtMostOnce("");
     } else {
-      co_await SendClaimed(key);
+      co_await SendWithKey(key);
     }
   }
 
@@ -82,7 +82,7 @@
   }
 
   /** @return the next runner to try, or null. @param aTry counts the tries from 0. */
-  const host* Choose(std::size_t aTry)
+  const host* ChooseRunner(std::size_t aTry)
   {
     std::vector<const host*> hosts = mFrontend.mHosts.LiveOf(mRoute.mServicePool);
     std::erase_if(
@@ -94,7 +94,7 @@
     LogEvent(log_level::eInfo,
              "route",
              { { "request", ToText(mAttempt) },
-               { "route", mName },
+               { "route", mRouteName },
                { "candidates", hosts.size() },
                { "chosen", chosen->mName },
                { "reason", aTry == 0 ? "in turn" : "another runner failed" } });
@@ -106,7 +106,7 @@
   {
     send_result sent;
     const result<http_connection_ptr> connection =
-      co_await http_connection::Connect(aHost.mAddress, kConnectLimit);
+      co_await http_connection::Connect(aHost.mAddress, kConnectTimeout);
     if (!connection) {
       mFrontend.mAvoided.Avoid(aHost.mName, Now());
       co_return sent;
@@ -137,9 +137,9 @@
 
   asio::awaitable<void> SendRepeatable()
   {
-    bool maybeRun = false;
+    bool mayHaveRun = false;
     for (int tries = 0; tries < kMaxTries && Now() < mDeadline; ++tries) {
-      const host* const chosen = Choose(static_cast<std::size_t>(tries));
+      const host* const chosen = ChooseRunner(static_cast<std::size_t>(tries));
       if (chosen == nullptr) {
         break;
       }
@@ -151,27 +151,27 @@
       if (mGivenUp) {
         break;
       }
-      maybeRun = maybeRun || (sent.mSent && !sent.mRefused);
+      mayHaveRun = mayHaveRun || (sent.mSent && !sent.mRefused);
     }
-    co_await RespondFailed(maybeRun);
+    co_await RespondFailed(mayHaveRun);
   }
 
   /** Sends a call that may not be repeated. @param aKey its claimed key, or empty. */
-  asio::awaitable<void> SendOnce(std::string aKey)
+  asio::awaitable<void> SendAtMostOnce(std::string aKey)
   {
     for (int tries = 0; tries < kMaxTries && Now() < mDeadline; ++tries) {
-      const host* const chosen = Choose(static_cast<std::size_t>(tries));
+      const host* const chosen = ChooseRunner(static_cast<std::size_t>(tries));
       if (chosen == nullptr) {
         break;
       }
       const send_result sent = co_await Send(*chosen);
       if (sent.mAnswer) {
-        NoteState(aKey, keyed_state::eDone, *sent.mAnswer);
+        RecordState(aKey, keyed_state::eDone, *sent.mAnswer);
         co_await RespondDone(*sent.mAnswer);
         co_return;
       }
       if (sent.mSent && !sent.mRefused) {
-        NoteState(aKey, keyed_state::eUnknown, {});
+        RecordState(aKey, keyed_state::eUnknown, {});
         co_await RespondFailed(true);
         co_return;
       }
@@ -179,19 +179,19 @@
         break;
       }
     }
-    Abandon(aKey);
+    AbandonKey(aKey);
     co_await RespondFailed(false);
   }
 
-  void Abandon(const std::string& aKey)
+  void AbandonKey(const std::string& aKey)
   {
     if (!aKey.empty()) {
-      NoteState(aKey, keyed_state::eAbandoned, {});
+      RecordState(aKey, keyed_state::eAbandoned, {});
       mFrontend.mLog.Release(aKey, mAttempt);
     }
   }
 
-  void NoteState(const std::string& aKey, keyed_state aState, const http_answer& aAnswer)
+  void RecordState(const std::string& aKey, keyed_state aState, const http_answer& aAnswer)
   {
     if (!aKey.empty()) {
       mFrontend.mKeys.Calls().Set(aKey, { mAttempt, aState, aAnswer.mStatus, aAnswer.mBody });
@@ -221,7 +221,7 @@
     return boost::outcome_v2::success();
   }
 
-  asio::awaitable<void> SendClaimed(std::string aKey)
+  asio::awaitable<void> SendWithKey(std::string aKey)
   {
     const result<void> checked = CheckKey(aKey);
     if (!checked && checked.error() == errc::eKeyExpired) {
@@ -232,7 +232,7 @@
       co_await RespondKeyError(400, checked.error(), call_outcome::eNotRun);
       co_return;
     }
-    const std::string key = ScopedKey(TeamOf(*mExchange), mName, aKey);
+    const std::string key = ScopedKey(TeamOf(*mExchange), mRouteName, aKey);
     if (const auto held = mFrontend.mLog.State().ClaimOf(key)) {
       co_await RespondFromHolder(key, held->mAttempt);
       co_return;
@@ -243,15 +243,15 @@
       co_return;
     }
     mFrontend.mKeys.Calls().Set(key, { mAttempt, keyed_state::eRunning, 0, "" });
-    const result<claim> claimed = co_await mFrontend.mLog.Claim(key, mAttempt, kClaimLimit);
+    const result<claim> claimed = co_await mFrontend.mLog.Claim(key, mAttempt, kClaimTimeout);
     if (!claimed) {
-      Abandon(key);
+      AbandonKey(key);
       co_await RespondError(mExchange,
                             { 503,
                               claimed.error(),
                               "the key can't be claimed now; the call was not sent",
                               call_outcome::eNotRun,
-                              kKeyRetry });
+                              kKeyRetryAfter });
       Count(call_outcome::eNotRun);
       co_return;
     }
@@ -259,7 +259,7 @@
       co_await RespondFromHolder(key, claimed.value().mAttempt);
       co_return;
     }
-    co_await SendOnce(key);
+    co_await SendAtMostOnce(key);
   }
 
   /** Answers with what the daemon that holds the key says of its call. */
@@ -271,8 +271,8 @@
       call = own == nullptr ? call : *own;
     } else if (const member_info* const member = mFrontend.mMembers.Find(aHolder.mIncarnation)) {
       const json message{ { "key", aKey } };
-      const result<json> answer =
-        co_await mFrontend.mPeers.Call(member_info(*member), "claim_status", message, kStatusLimit);
+      const result<json> answer = co_await mFrontend.mPeers.Call(
+        member_info(*member), "claim_status", message, kClaimStatusTimeout);
       call = answer ? KeyedCallFromJson(answer.value()) : call;
     }
     switch (call.mState) {
@@ -303,7 +303,7 @@
                             aError,
                             mayRetry ? "another call holds this key" : "the key can't be used",
                             aOutcome,
-                            mayRetry ? duration(kKeyRetry) : duration{ 0 } });
+                            mayRetry ? duration(kKeyRetryAfter) : duration{ 0 } });
     Count(aOutcome);
   }
 
@@ -318,16 +318,16 @@
     Count(call_outcome::eDone);
   }
 
-  asio::awaitable<void> RespondFailed(bool aMaybeRun)
+  asio::awaitable<void> RespondFailed(bool aMayHaveRun)
   {
-    const call_outcome outcome = aMaybeRun ? call_outcome::eUnknown : call_outcome::eNotRun;
+    const call_outcome outcome = aMayHaveRun ? call_outcome::eUnknown : call_outcome::eNotRun;
     co_await RespondError(
       mExchange,
-      { aMaybeRun ? 502U : 503U,
-        make_error_code(aMaybeRun ? errc::eConnectionLost : errc::eNoRunner),
-        aMaybeRun ? "the connection ended before the answer" : "no runner took the call",
+      { aMayHaveRun ? 502U : 503U,
+        make_error_code(aMayHaveRun ? errc::eConnectionLost : errc::eNoRunner),
+        aMayHaveRun ? "the connection ended before the answer" : "no runner took the call",
         outcome,
-        aMaybeRun ? duration{ 0 } : duration(kNoRunnerRetry) });
+        aMayHaveRun ? duration{ 0 } : duration(kNoRunnerRetryAfter) });
     Count(outcome);
   }
 
@@ -339,7 +339,7 @@
   frontend_context& mFrontend; ///< The daemon.
   exchange_ptr mExchange;      ///< The caller.
   route_spec mRoute;           ///< The route as it was when the call came.
-  std::string mName;           ///< Name of the route.
+  std::string mRouteName;      ///< Name of the route.
   attempt_id mAttempt;         ///< Identifies the call; the same for every runner tried.
   instant mDeadline;           ///< Nothing is sent after this.
   bool mGivenUp = false;       ///< The caller is gone or the deadline has passed.
--- a/tests/integration/answers_test.cpp
+++ b/tests/integration/answers_test.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 void
-CheckWhole(const stream& aStream, const std::string& aPrompt, unsigned aTokens)
+CheckCompleteAnswer(const stream& aStream, const std::string& aPrompt, unsigned aTokens)
 {
   CHECK_TRUE(aStream.Done());
   LONGS_EQUAL(aTokens, aStream.Indexes().size());
@@ -42,7 +42,7 @@
   const std::string busy = bed.HoldsAt("decode-1") > 0 ? "decode-1" : "decode-2";
   bed.At(busy).mProcess->Signal(SIGKILL);
   turn.ReadAll();
-  CheckWhole(turn, prompt, 120);
+  CheckCompleteAnswer(turn, prompt, 120);
 }
 
 TEST(answers, AStreamThatIsCutIsResumedAtTheNextIndex)
@@ -53,7 +53,7 @@
   const std::string prompt = "tell me about the ferry";
   stream turn(bed.Daemon("entry-1").mCallers, CompletionBody(prompt, 30));
   turn.ReadAll();
-  CheckWhole(turn, prompt, 30);
+  CheckCompleteAnswer(turn, prompt, 30);
   CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, 2000));
 }
 
@@ -66,7 +66,7 @@
     const std::string prompt = std::string("crossed at ") + engine;
     stream turn(bed.Daemon("entry-1").mCallers, CompletionBody(prompt, 10));
     turn.ReadAll();
-    CheckWhole(turn, prompt, 10);
+    CheckCompleteAnswer(turn, prompt, 10);
   }
 }
 
@@ -86,7 +86,8 @@
   }
   for (int number = 0; number < 6; number += 2) {
     turns[static_cast<std::size_t>(number)]->ReadAll();
-    CheckWhole(*turns[static_cast<std::size_t>(number)], "late " + std::to_string(number), 8);
+    CheckCompleteAnswer(
+      *turns[static_cast<std::size_t>(number)], "late " + std::to_string(number), 8);
   }
 }
 
@@ -100,7 +101,7 @@
   CHECK_TRUE(first.ReadTokens(5) >= 5);
   stream second(bed.Daemon("entry-2").mCallers, CompletionBody(prompt, 60), key);
   second.ReadAll();
-  CheckWhole(second, prompt, 60);
+  CheckCompleteAnswer(second, prompt, 60);
   first.ReadAll(3000);
   CHECK_FALSE(first.Done());
   CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, 2000));
--- a/tests/integration/random_test.cpp
+++ b/tests/integration/random_test.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr int kSteps = 10;
-constexpr int kCallsAStep = 6;
+constexpr int kCallsPerStep = 6;
 
 /** A run of steps: a fault, then calls, each checked against what the engines and services did. */
 class random_run
@@ -35,10 +35,10 @@
   void Run()
   {
     for (int step = 0; step < kSteps; ++step) {
-      Fault();
+      InjectFault();
       std::vector<std::future<void>> calls;
-      for (int call = 0; call < kCallsAStep; ++call) {
-        const int number = step * kCallsAStep + call;
+      for (int call = 0; call < kCallsPerStep; ++call) {
+        const int number = step * kCallsPerStep + call;
         const std::string entry = AnyDaemon();
         calls.push_back(std::async(std::launch::async, [this, number, entry] {
           number % 2 == 0 ? Turn(number, entry) : Record(number, entry);
@@ -48,24 +48,24 @@
         call.get();
       }
       CheckRuns();
-      Mend();
+      ClearFaults();
     }
     CHECK_TRUE(mServed > 0);
     CHECK_TRUE(Eventually([&] { return mBed.Holds() == 0; }, 4000));
   }
 
 private:
-  int Draw(int aMost) { return std::uniform_int_distribution<int>(0, aMost - 1)(mRandom); }
-  std::string AnyDaemon() { return "entry-" + std::to_string(1 + Draw(3)); }
+  int RandomBelow(int aMost) { return std::uniform_int_distribution<int>(0, aMost - 1)(mRandom); }
+  std::string AnyDaemon() { return "entry-" + std::to_string(1 + RandomBelow(3)); }
   std::string AnyEngine()
   {
-    return Draw(2) == 0 ? "decode-" + std::to_string(1 + Draw(3))
-                        : "prefill-" + std::to_string(1 + Draw(2));
+    return RandomBelow(2) == 0 ? "decode-" + std::to_string(1 + RandomBelow(3))
+                               : "prefill-" + std::to_string(1 + RandomBelow(2));
   }
 
-  void Fault()
+  void InjectFault()
   {
-    switch (Draw(8)) {
+    switch (RandomBelow(8)) {
       case 0:
         Control(mBed.Platform(), { { "log_down", 1 } });
         break;
@@ -79,13 +79,14 @@
         Control(mBed.At(AnyEngine()), { { "cross_answers", 1 } });
         break;
       case 4:
-        Control(mBed.At("decode-" + std::to_string(1 + Draw(3))), { { "cut_after_tokens", 3 } });
+        Control(mBed.At("decode-" + std::to_string(1 + RandomBelow(3))),
+                { { "cut_after_tokens", 3 } });
         break;
       case 5:
-        Control(mBed.At("records-" + std::to_string(1 + Draw(2))), { { "cut_after", 1 } });
+        Control(mBed.At("records-" + std::to_string(1 + RandomBelow(2))), { { "cut_after", 1 } });
         break;
       case 6:
-        Control(mBed.At("records-" + std::to_string(1 + Draw(2))), { { "cut_before", 1 } });
+        Control(mBed.At("records-" + std::to_string(1 + RandomBelow(2))), { { "cut_before", 1 } });
         break;
       default:
         Restart(AnyDaemon());
@@ -100,7 +101,7 @@
     mBed.StartDaemon(aName);
   }
 
-  void Mend()
+  void ClearFaults()
   {
     Control(mBed.Platform(), { { "log_down", 0 }, { "log_slow_ms", 0 }, { "lose_answers", 0 } });
   }
@@ -111,11 +112,11 @@
     stream turn(mBed.Daemon(aEntry).mCallers, CompletionBody(prompt, 10));
     turn.ReadAll(15000);
     for (std::size_t at = 0; at < turn.Indexes().size(); ++at) {
-      mTorn += turn.Indexes()[at] == at ? 0 : 1;
+      mCorruptedTexts += turn.Indexes()[at] == at ? 0 : 1;
     }
     const std::string whole = AnswerText(prompt, 10);
-    mTorn += whole.starts_with(turn.Text()) ? 0 : 1;
-    mTorn += turn.Done() && turn.Text() != whole ? 1 : 0;
+    mCorruptedTexts += whole.starts_with(turn.Text()) ? 0 : 1;
+    mCorruptedTexts += turn.Done() && turn.Text() != whole ? 1 : 0;
     mServed += turn.Done() ? 1 : 0;
   }
 
@@ -128,46 +129,46 @@
     const std::string other = aEntry == "entry-1" ? "entry-2" : "entry-1";
     const answer second = Call(mBed.Daemon(other).mCallers, "POST", "/records", body, key);
     const std::lock_guard<std::mutex> lock(mMutex);
-    mTold[record] = { first.Outcome(), second.Outcome() };
+    mOutcomes[record] = { first.Outcome(), second.Outcome() };
     mServed += first.Outcome() == "done" ? 1 : 0;
   }
 
   void CheckRuns()
   {
-    LONGS_EQUAL(0, mTorn);
-    for (const auto& [record, told] : mTold) {
+    LONGS_EQUAL(0, mCorruptedTexts);
+    for (const auto& [record, outcomes] : mOutcomes) {
       const std::uint64_t runs = mBed.Runs(record);
       CHECK_TRUE(runs <= 1);
-      const bool done = told.first == "done" || told.second == "done";
+      const bool done = outcomes.first == "done" || outcomes.second == "done";
       CHECK_TRUE(!done || runs == 1);
-      CHECK_TRUE(told.first != "not-run" || told.second != "not-run" || runs == 0);
+      CHECK_TRUE(outcomes.first != "not-run" || outcomes.second != "not-run" || runs == 0);
     }
-    mTold.clear();
+    mOutcomes.clear();
   }
 
-  testbed mBed;                                                     ///< The deployment.
-  std::mt19937 mRandom;                                             ///< Draws faults.
-  std::mutex mMutex;                                                ///< Guards mTold.
-  std::map<std::string, std::pair<std::string, std::string>> mTold; ///< Outcomes by record.
-  std::atomic<int> mTorn{ 0 };   ///< Doubled, crossed or torn texts.
-  std::atomic<int> mServed{ 0 }; ///< Whole answers.
+  testbed mBed;                                                         ///< The deployment.
+  std::mt19937 mRandom;                                                 ///< Draws faults.
+  std::mutex mMutex;                                                    ///< Guards mOutcomes.
+  std::map<std::string, std::pair<std::string, std::string>> mOutcomes; ///< Outcomes by record.
+  std::atomic<int> mCorruptedTexts{ 0 }; ///< Doubled, crossed or torn texts.
+  std::atomic<int> mServed{ 0 };         ///< Whole answers.
 };
 
 } // namespace
 
 TEST_GROUP(random){};
 
-TEST(random, SeedOneKeepsThePromises)
+TEST(random, RandomFaultsOfSeedOneCorruptNoAnswerAndRunNoRecordTwice)
 {
   random_run(1).Run();
 }
 
-TEST(random, SeedTwoKeepsThePromises)
+TEST(random, RandomFaultsOfSeedTwoCorruptNoAnswerAndRunNoRecordTwice)
 {
   random_run(2).Run();
 }
 
-TEST(random, SeedThreeKeepsThePromises)
+TEST(random, RandomFaultsOfSeedThreeCorruptNoAnswerAndRunNoRecordTwice)
 {
   random_run(3).Run();
 }
--- a/tests/integration/stop_test.cpp
+++ b/tests/integration/stop_test.cpp
@@ -34,7 +34,7 @@
       }
     });
     for (int caller = 0; caller < aCallers; ++caller) {
-      mThreads.emplace_back([this, caller] { CallOn(caller); });
+      mThreads.emplace_back([this, caller] { CallRepeatedly(caller); });
     }
   }
   ~balanced_load() { Stop(); }
@@ -59,7 +59,7 @@
     return mTargets.empty() ? "" : mTargets[static_cast<std::size_t>(aCount) % mTargets.size()];
   }
 
-  void CallOn(int aCaller)
+  void CallRepeatedly(int aCaller)
   {
     for (int count = 0; !mStop; ++count) {
       const std::string target = Target(aCaller + count);
--- a/tests/unit/runner_test.cpp
+++ b/tests/unit/runner_test.cpp
@@ -67,13 +67,13 @@
 
 TEST(runners, PromptsWithACommonStartShareTheirFirstBlocks)
 {
-  const std::string guide(2 * kBlockBytes, 'g');
-  const auto one = PrefixBlocks(guide + std::string(3 * kBlockBytes, 'a'));
-  const auto two = PrefixBlocks(guide + std::string(3 * kBlockBytes, 'b'));
+  const std::string guide(2 * kPrefixBlockBytes, 'g');
+  const auto one = PrefixBlocks(guide + std::string(3 * kPrefixBlockBytes, 'a'));
+  const auto two = PrefixBlocks(guide + std::string(3 * kPrefixBlockBytes, 'b'));
   LONGS_EQUAL(4, one.size()); // 1, 2, 4 and all 5 blocks.
   CHECK_TRUE(one[1] == two[1]);
   CHECK_FALSE(one[2] == two[2]);
-  LONGS_EQUAL(5 * kBlockBytes / kBytesPerToken, one[3].mTokens);
+  LONGS_EQUAL(5 * kPrefixBlockBytes / kBytesPerToken, one[3].mTokens);
 }
 
 TEST(runners, ATeamsQuotaIsSharedByTheDaemons)
