--- a/src/callers/avoided_base.h
+++ b/src/callers/avoided_base.h
@@ -1,7 +1,7 @@
 /**
  * @file avoided_base.h
- * Services that refused or could not be reached get no calls for a while, until the host list
- * says what is the matter.
+ * A short back-off for service runners that refused a call or could not be reached. It bridges the
+ * time until the host list shows their new state.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace dunehook {
 
-/** Runners to pass over, by name. */
+/** Runners that get no calls until their back-off ends. */
 class avoided_runners
 {
 public:
@@ -24,8 +24,9 @@
   }
 
 private:
-  static constexpr duration kAvoidTime = std::chrono::seconds(5); ///< Longer than the list lags.
-  std::unordered_map<std::string, instant> mUntil;                ///< By name.
+  static constexpr duration kAvoidTime =
+    std::chrono::seconds(5);                       ///< Longer than the delay of the host list.
+  std::unordered_map<std::string, instant> mUntil; ///< End of the back-off by runner name.
 };
 
 } // namespace dunehook
--- a/src/callers/completion_request.cpp
+++ b/src/callers/completion_request.cpp
@@ -1,6 +1,6 @@
 /**
  * @file completion_request.cpp
- * Reading of completions calls, and the prefixes of their prompts.
+ * Parses completions calls and hashes the prefixes of their prompts.
  */
 #include "callers/completion_type.h"
 
--- a/src/callers/completion_session.cpp
+++ b/src/callers/completion_session.cpp
@@ -1,6 +1,6 @@
 /**
  * @file completion_session.cpp
- * One completions call: its messages one after the other, and how it ends.
+ * The message loop of a completions call, its cancellation and its error answers.
  */
 #include "callers/completion_session.h"
 
@@ -15,10 +15,11 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kResendInterval = 500ms;      ///< A waiting request is told to the owner again.
-constexpr duration kCancelTimeout = 500ms;       ///< Time limit of a cancel.
-constexpr duration kCancelRetryInterval = 200ms; ///< Pause between tries of a cancel.
-constexpr duration kTakeOverTimeout = 300ms;     ///< Longest wait for an older attempt to end.
+constexpr duration kResendInterval = 500ms; ///< A waiting request is reported to the owner again.
+constexpr duration kCancelTimeout = 500ms;  ///< Time limit of one cancel call to an engine.
+constexpr duration kCancelRetryInterval = 200ms; ///< Pause between cancel calls.
+constexpr duration kTakeOverTimeout =
+  300ms; ///< Time limit of each peer call that ends an older attempt.
 constexpr duration kDefaultRetryAfter = 1s;
 constexpr int kMaxCancelTries = 50;
 
@@ -142,7 +143,7 @@
     if (mPendingMessages.empty()) {
       const attempt_entry* const entry = mFrontend.mAttempts.Find(mAttempt);
       if (entry->mStage == request_stage::eWaiting) {
-        co_await Report(DescribeRequest()); // An owner that knows it takes no notice.
+        co_await Report(DescribeRequest()); // An owner that has the request ignores this.
       }
       continue;
     }
--- a/src/callers/completion_session.h
+++ b/src/callers/completion_session.h
@@ -1,8 +1,8 @@
 /**
  * @file completion_session.h
  * One completions call, from its arrival to its final answer. The session carries out the orders
- * of the cell's owner step by step: prefill, transfer in pieces, decode; it tells the owner what
- * came of each, and writes the tokens to its one caller, each index once.
+ * of the cell's owner: prefill, transfer in chunks, decode. It reports the result of each step to
+ * the owner, and writes every token index to the caller exactly once.
  */
 #pragma once
 
@@ -17,30 +17,30 @@
 /** A prefill ended. */
 struct prefill_ended
 {
-  engine_id mEngine;              ///< Where.
-  result<prefill_answer> mAnswer; ///< What came of it.
+  engine_id mEngine;              ///< The prefill engine.
+  result<prefill_answer> mAnswer; ///< The engine's answer, or the error.
 };
 
-/** A piece of a transfer ended. */
+/** The transfer of a chunk ended. */
 struct chunk_ended
 {
   engine_id mEngine;    ///< The decode engine.
-  bool mLast = false;   ///< Whether it was the last piece.
-  result<void> mAnswer; ///< What came of it.
+  bool mLast = false;   ///< Whether it was the last chunk.
+  result<void> mAnswer; ///< Success, or the error.
 };
 
 /** The caller closed its connection. */
 struct caller_left
 {};
 
-/** A newer attempt with the same key took over. */
+/** A newer attempt with the same idempotency key replaces this one. */
 struct taken_over
 {};
 
 using session_message =
   std::variant<addressed_order, prefill_ended, chunk_ended, caller_left, taken_over>;
 
-/** One completions call. */
+/** Serves one completions call; handles its messages one after the other. */
 class completion_session : public std::enable_shared_from_this<completion_session>
 {
 public:
@@ -57,11 +57,11 @@
   const attempt_id& Attempt() const { return mAttempt; }
 
 private:
-  /** An engine that may hold something for this attempt. */
+  /** An engine that may hold a slot or KV cache for this attempt. */
   struct used_engine
   {
-    engine_id mId;     ///< Its id; null if none is used.
-    endpoint mAddress; ///< Where it listens.
+    engine_id mId;     ///< Null if no engine is in use.
+    endpoint mAddress; ///< The engine's listening address.
   };
 
   asio::awaitable<void> TakeOverKey();
@@ -92,27 +92,27 @@
   call_outcome OutcomeSoFar() const;
   static instant Now() { return boot_clock_source().Now(); }
 
-  frontend_context& mFrontend;                  ///< The daemon.
-  exchange_ptr mExchange;                       ///< The caller.
-  completion_request mRequest;                  ///< What the caller asks for.
+  frontend_context& mFrontend;                  ///< Shared parts of the daemon.
+  exchange_ptr mExchange;                       ///< The HTTP exchange with the caller.
+  completion_request mRequest;                  ///< The parsed call.
   std::string mRouteName;                       ///< The route's name.
-  route_spec mRoute;                            ///< The route as it was when the call came.
-  priority_class_spec mClassTargets;            ///< Targets of its class.
-  cell_key mCell;                               ///< Who is asked for orders.
+  route_spec mRoute;                            ///< Copy of the route at arrival.
+  priority_class_spec mClassTargets;            ///< Latency targets of the route's class.
+  cell_key mCell;                               ///< Cell whose owner schedules the call.
   attempt_id mAttempt;                          ///< Identifies the call.
-  instant mArrived;                             ///< When the call came.
-  instant mDeadline;                            ///< Given up after this.
-  std::deque<session_message> mPendingMessages; ///< Messages to take.
+  instant mArrived;                             ///< Arrival time.
+  instant mDeadline;                            ///< The call fails after this.
+  std::deque<session_message> mPendingMessages; ///< Messages not handled yet.
   wake_list mMessageArrived;                    ///< Woken when mPendingMessages gets a message.
   used_engine mPrefill;                         ///< Prefill engine in use.
   used_engine mDecode;                          ///< Decode engine in use.
-  http_connection_ptr mConnection;              ///< Connection in use, to be aborted.
+  http_connection_ptr mConnection;              ///< Engine connection in use; aborted on cancel.
   std::string mEventPrefix;                     ///< Start of every token's event, up to its index.
-  std::uint64_t mKvBytes = 0;                   ///< Size of the prefill result.
-  std::uint32_t mNextIndex = 0;       ///< Index of the next token to write; never goes down.
-  std::string mText;                  ///< Tokens so far, for the whole answer and for resuming.
-  bool mMayHaveReachedRunner = false; ///< Some byte of the call may have reached a runner.
-  bool mEnded = false;                ///< The final answer was given, or nobody waits for it.
+  std::uint64_t mKvBytes = 0;                   ///< Size of the prefill result in bytes.
+  std::uint32_t mNextIndex = 0; ///< Index of the next token to write; never decreases.
+  std::string mText;            ///< Text generated so far; also the start of a resumed prefill.
+  bool mMayHaveReachedRunner = false; ///< Whether a byte of the call may have reached a runner.
+  bool mEnded = false;                ///< The final answer was sent, or no caller waits for it.
 };
 
 } // namespace dunehook
--- a/src/callers/completion_steps.cpp
+++ b/src/callers/completion_steps.cpp
@@ -1,7 +1,7 @@
 /**
  * @file completion_steps.cpp
- * The steps of a completions call at the engines: prefill, transfer in pieces, decode, and the
- * tokens on their way to the caller.
+ * The engine calls of a completions call (prefill, transfer in chunks, decode) and the streaming of
+ * tokens to the caller.
  */
 #include "callers/completion_session.h"
 
@@ -12,8 +12,9 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kEngineCallTimeout = 20s; ///< Longest prefill or piece of a transfer.
-constexpr duration kTokenTimeout = 5s;       ///< Longest silence of a token stream.
+constexpr duration kEngineCallTimeout =
+  20s;                                 ///< Time limit of a prefill or of one chunk's transfer.
+constexpr duration kTokenTimeout = 5s; ///< Longest time without data on a token stream.
 
 } // namespace
 
@@ -22,7 +23,7 @@
 {
   const attempt_entry* const entry = mFrontend.mAttempts.Find(mAttempt);
   if (entry->mStage == request_stage::ePrefilling && mPrefill.mId == aOrder.mEngine) {
-    return; // The order came twice.
+    return; // A duplicate of the order.
   }
   FreeEngine(mPrefill);
   FreeEngine(mDecode);
@@ -65,7 +66,7 @@
 completion_session::BeginChunk(const start_chunk& aOrder, const endpoint& aAddress)
 {
   if (mDecode.mId != aOrder.mEngine) {
-    FreeEngine(mDecode); // An earlier owner had chosen another engine.
+    FreeEngine(mDecode); // A former owner had chosen another engine.
   }
   mDecode = { aOrder.mEngine, aAddress };
   SetStage(request_stage::eTransferring);
@@ -123,7 +124,7 @@
     read = connection.error();
   }
   if (mExchange->CallerGone()) {
-    co_return; // The message that says so is in the inbox.
+    co_return; // A caller_left message is pending.
   }
   if (read) {
     mFrontend.mEngines.Give(mDecode.mAddress, connection.value());
@@ -171,7 +172,7 @@
 std::string
 completion_session::TokenEvent(const token& aToken) const
 {
-  // Put together from parts: a tree of JSON for each token costs most of a stream's processor time.
+  // Concatenated, since building a JSON tree per token takes most of a stream's processor time.
   std::string event = mEventPrefix;
   event += std::to_string(aToken.mIndex);
   event += R"(,"choices":[{"index":0,"finish_reason":null,"text":)";
@@ -186,7 +187,7 @@
   std::string events;
   for (const token& one : aTokens) {
     if (one.mIndex != mNextIndex) {
-      continue; // Written before, by an earlier attempt.
+      continue; // Already written from an earlier decode.
     }
     if (mNextIndex == 0) {
       mFrontend.mMetrics.ObserveFirstToken(mRoute.mClass, ToSeconds(Now() - mArrived));
@@ -231,7 +232,7 @@
       co_await mExchange->EndStream();
     }
   }
-  // The engine has freed the slot itself.
+  // The engine frees its slot at the end of a stream, so no cancel is needed.
   const stream_finished finished{ mAttempt, mNextIndex };
   co_await mFrontend.mOwners.Send(mCell, finished);
 }
--- a/src/callers/completion_type.h
+++ b/src/callers/completion_type.h
@@ -1,6 +1,6 @@
 /**
  * @file completion_type.h
- * A completions call as the caller wrote it.
+ * The parsed request of a completions call.
  */
 #pragma once
 
@@ -15,37 +15,38 @@
 
 namespace dunehook {
 
-/** Bytes of prompt that count as one token, since no tokenizer is at hand. */
+/** Bytes of text that count as one token: an estimate, since the router has no tokenizer. */
 inline constexpr std::size_t kBytesPerToken = 4;
-/** Bytes of one prefix block. */
+/** Size of a prefix block in bytes. */
 inline constexpr std::size_t kPrefixBlockBytes = 1024;
-/** Prefix blocks looked at. */
+/** Number of blocks at the start of a prompt that are hashed; later ones are ignored. */
 inline constexpr std::size_t kMaxPrefixBlocks = 64;
-/** Tokens generated if the caller names no limit. */
+/** Value of max_tokens if the caller gives none. */
 inline constexpr std::uint32_t kDefaultMaxTokens = 64;
 
-/** What the caller asks for. */
+/** The fields of a completions call that the router reads. */
 struct completion_request
 {
   std::string mModel;                           ///< Name of the model.
   std::string mPrompt;                          ///< The prompt; never logged.
-  std::uint32_t mMaxTokens = kDefaultMaxTokens; ///< Most tokens of the answer.
-  bool mStream = false;                         ///< Whether to answer by events.
+  std::uint32_t mMaxTokens = kDefaultMaxTokens; ///< Maximum number of tokens to generate.
+  bool mStream = false;                         ///< Whether to answer with server-sent events.
 
   auto operator<=>(const completion_request&) const = default;
 };
 
-/** @return the request, or eBadRequest with what is wrong in @p aDetail. */
+/** @return the request, or eBadRequest with the reason in @p aDetail. */
 result<completion_request>
 ParseCompletion(std::string_view aBody, std::string& aDetail);
 
-/** @return the number of tokens of a text. */
+/** @return the estimated number of tokens of a text. */
 std::uint32_t
 CountTokens(std::string_view aText);
 
 /**
- * @return prefixes of a prompt, shortest first: those of 1, 2, 4, ... blocks of kPrefixBlockBytes,
- * and that of all whole blocks. Few, since each goes to the owner with the request.
+ * @return hashes of prefixes of a prompt, shortest first: those of 1, 2, 4, ... blocks of
+ * kPrefixBlockBytes, and that of all whole blocks. There are few of them, since each is sent to the
+ * cell's owner with the request.
  */
 std::vector<prefix_block>
 PrefixBlocks(std::string_view aPrompt);
--- a/src/callers/frontend.cpp
+++ b/src/callers/frontend.cpp
@@ -1,6 +1,6 @@
 /**
  * @file frontend.cpp
- * The frontend's entry: health, metrics, and which route a call takes.
+ * Entry point of callers' requests: health, metrics, admission and routing.
  */
 #include "callers/frontend_base.h"
 
@@ -87,7 +87,7 @@
 asio::awaitable<void>
 ServeCall(frontend_context& aFrontend, exchange_ptr aExchange)
 {
-  // Calls that come before the balancer has noticed a planned stop are served.
+  // While draining, calls are still served until the load balancer has noticed the planned stop.
   const bool takesCalls = aFrontend.mDraining ? !aFrontend.mRefusing : IsReady(aFrontend);
   if (!takesCalls) {
     co_await RespondError(aExchange,
--- a/src/callers/frontend_base.h
+++ b/src/callers/frontend_base.h
@@ -1,7 +1,7 @@
 /**
  * @file frontend_base.h
- * The frontend role: answers callers. Every answer says what became of the call in the header
- * X-Dunehook-Outcome: done, not-run, unknown, or in-stream where the last event says it.
+ * The frontend role: answers callers. The header X-Dunehook-Outcome of every answer gives the
+ * call's outcome: done, not-run, unknown, or in-stream where the last event has it.
  */
 #pragma once
 
@@ -14,47 +14,47 @@
 
 namespace dunehook {
 
-/** What became of a call. */
+/** Whether a call ran. */
 enum class call_outcome
 {
   eDone,     ///< The runner answered and the caller has the whole answer.
   eNotRun,   ///< No byte of the call reached a runner, and none will.
   eUnknown,  ///< The call may have run, in whole or in part.
-  eInStream, ///< The stream's last event says.
+  eInStream, ///< The stream's last event has the outcome.
 };
 
-/** @return the outcome's value of the header. */
+/** @return the outcome's value in the header X-Dunehook-Outcome. */
 std::string_view
 OutcomeName(call_outcome aOutcome);
 
 /** The parts of the daemon that frontends use. */
 struct frontend_context
 {
-  asio::io_context& mIo;          ///< Runs everything.
+  asio::io_context& mIo;          ///< Event loop of the daemon.
   log_follower& mLog;             ///< Configuration and claims.
-  host_directory& mHosts;         ///< Runners.
-  member_table& mMembers;         ///< Daemons.
-  peer_directory& mPeers;         ///< Calls to daemons.
-  owner_router& mOwners;          ///< Owners of cells.
-  engine_client& mEngines;        ///< Calls to engines.
-  attempt_registry& mAttempts;    ///< Attempts under way.
+  host_directory& mHosts;         ///< Directory of runners.
+  member_table& mMembers;         ///< Daemons of the deployment.
+  peer_directory& mPeers;         ///< RPC to other daemons.
+  owner_router& mOwners;          ///< Sends events to owners of cells.
+  engine_client& mEngines;        ///< HTTP calls to engines.
+  attempt_registry& mAttempts;    ///< Attempts in progress.
   key_registry& mKeys;            ///< Idempotency keys.
   team_quotas& mQuotas;           ///< Quotas of teams.
   frontend_metrics& mMetrics;     ///< Counters.
-  avoided_runners mAvoided{};     ///< Services that refused lately.
-  bool mDraining = false;         ///< A planned stop has begun: the balancer is told to stay away.
-  bool mRefusing = false;         ///< No new calls; set a while after mDraining.
-  std::size_t mCallsUnderWay = 0; ///< Calls being answered.
+  avoided_runners mAvoided{};     ///< Service runners in back-off.
+  bool mDraining = false;         ///< A planned stop has begun; /readyz answers 503.
+  bool mRefusing = false;         ///< New calls get 503; set some time after mDraining.
+  std::size_t mCallsUnderWay = 0; ///< Calls in progress.
   std::uint64_t mNextAttempt = 1; ///< Counter of the next attempt.
 
   /** @return a fresh attempt id. */
   attempt_id NextAttempt() { return { mMembers.Self().mIncarnation, mNextAttempt++ }; }
 };
 
-/** An answer without a runner's: an error with its outcome and, if any, when to come back. */
+/** An error answer of the router itself, with the outcome and an optional retry time. */
 struct error_answer
 {
-  /** A constructor, since GCC 12 destroys aggregates twice that are built within a co_await. */
+  /** Not an aggregate: GCC 12 destroys aggregates twice that are built within a co_await. */
   error_answer(unsigned aStatus,
                std::error_code aError,
                std::string_view aDetail,
@@ -69,9 +69,9 @@
   }
 
   unsigned mStatus;       ///< HTTP status.
-  std::error_code mError; ///< Names the body's code.
-  std::string mDetail;    ///< For a person.
-  call_outcome mOutcome;  ///< What became of the call.
+  std::error_code mError; ///< Gives the error code in the body.
+  std::string mDetail;    ///< Explanation for a person.
+  call_outcome mOutcome;  ///< Whether the call ran.
   duration mRetryAfter;   ///< Zero for no Retry-After.
 };
 
@@ -79,7 +79,7 @@
 asio::awaitable<void>
 RespondError(exchange_ptr aExchange, error_answer aAnswer);
 
-/** @return the headers that say the outcome and the request's id. */
+/** @return the headers with the outcome and the request id. */
 header_list
 OutcomeHeaders(call_outcome aOutcome, const attempt_id& aAttempt);
 
@@ -87,7 +87,7 @@
 std::string
 TeamOf(const http_exchange& aExchange);
 
-/** Key under which a team's idempotency key is claimed. */
+/** @return the key to claim: the idempotency key, qualified by team and route. */
 std::string
 ScopedKey(const std::string& aTeam, const std::string& aRoute, const std::string& aKey);
 
@@ -95,11 +95,11 @@
 asio::awaitable<void>
 ServeCompletion(frontend_context& aFrontend, exchange_ptr aExchange);
 
-/** Answers one call of a plain service. @param aRoute name of the route it takes. */
+/** Answers one call of a plain service. @param aRoute name of its route. */
 asio::awaitable<void>
 ServeService(frontend_context& aFrontend, exchange_ptr aExchange, std::string aRoute);
 
-/** Answers any call of a caller: the frontend's entry. */
+/** Answers any request of a caller; the entry point of the frontend. */
 asio::awaitable<void>
 ServeCaller(frontend_context& aFrontend, exchange_ptr aExchange);
 
--- a/src/callers/frontend_metrics.cpp
+++ b/src/callers/frontend_metrics.cpp
@@ -1,6 +1,6 @@
 /**
  * @file frontend_metrics.cpp
- * Metrics of a daemon.
+ * Registration and serialization of a daemon's metrics.
  */
 #include "callers/frontend_metrics.h"
 
--- a/src/callers/frontend_metrics.h
+++ b/src/callers/frontend_metrics.h
@@ -14,20 +14,20 @@
 
 namespace dunehook {
 
-/** Values that are set just before they're served. */
+/** Values of the gauges, collected when /metrics is read. */
 struct gauge_values
 {
-  double mNextOffset = 0;        ///< Offset of the next record to fold.
-  double mLogReachable = 0;      ///< 1 if the log answered lately.
-  double mHostListReachable = 0; ///< 1 if the host list answered lately.
-  double mMembers = 0;           ///< Daemons known, this one included.
+  double mNextOffset = 0;        ///< Offset of the next log record to apply.
+  double mLogReachable = 0;      ///< 1 if the log answered recently, else 0.
+  double mHostListReachable = 0; ///< 1 if the host list answered recently, else 0.
+  double mMembers = 0;           ///< Known daemons, including this one.
   double mCells = 0;             ///< Cells owned.
-  double mCallsUnderWay = 0;     ///< Calls being answered.
+  double mCallsUnderWay = 0;     ///< Calls in progress.
   double mRefused = 0;           ///< Requests refused by owned cells.
-  double mRequeued = 0;          ///< Repeats in owned cells.
+  double mRequeued = 0;          ///< Requests put back into the queue in owned cells.
   double mPrefillTokens = 0;     ///< Prompt tokens computed in owned cells.
-  double mWastedTokens = 0;      ///< Of them thrown away.
-  double mCancelledTokens = 0;   ///< Of them thrown away since the caller went.
+  double mWastedTokens = 0;      ///< Prefill tokens whose result was discarded.
+  double mCancelledTokens = 0;   ///< Prefill tokens discarded because the caller left.
 };
 
 /** The daemon's metrics. */
@@ -38,9 +38,9 @@
 
   /** Counts a finished call. */
   void CountCall(const std::string& aKind, const std::string& aOutcome);
-  /** Counts a finished call of a class. @param aSeconds its time to the first token. */
+  /** Records the time to the first token of a call. @param aClass its priority class. */
   void ObserveFirstToken(const std::string& aClass, double aSeconds);
-  /** Counts tokens sent. */
+  /** Counts tokens sent to callers. */
   void CountTokens(double aTokens) { mTokens->Increment(aTokens); }
   /** Counts an answer that belonged to another attempt. */
   void CountWrongAnswer() { mWrongAnswers->Increment(); }
@@ -48,12 +48,12 @@
   std::string Serialize(const gauge_values& aValues);
 
 private:
-  prometheus::Registry mRegistry;                         ///< Owns all families.
+  prometheus::Registry mRegistry;                         ///< Owns all metrics below.
   prometheus::Family<prometheus::Counter>* mCalls;        ///< Calls by kind and outcome.
   prometheus::Family<prometheus::Histogram>* mFirstToken; ///< Time to the first token.
   prometheus::Counter* mTokens;                           ///< Tokens sent.
-  prometheus::Counter* mWrongAnswers;                     ///< Answers of other attempts.
-  prometheus::Family<prometheus::Gauge>* mGauges;         ///< One family, by name.
+  prometheus::Counter* mWrongAnswers;                     ///< Dropped answers of other attempts.
+  prometheus::Family<prometheus::Gauge>* mGauges;         ///< All gauges, labelled by name.
 };
 
 } // namespace dunehook
--- a/src/callers/quota_base.h
+++ b/src/callers/quota_base.h
@@ -1,7 +1,8 @@
 /**
  * @file quota_base.h
- * Quotas of teams. Each daemon grants its share of a team's rate: the rate over the number of
- * serving daemons, so that no message is needed; the balancer spreads a team's calls.
+ * Rate limits of teams. Each daemon enforces an equal share of a team's rate: the rate divided by
+ * the number of serving daemons. This needs no messages between daemons and relies on the load
+ * balancer to spread a team's calls evenly.
  */
 #pragma once
 
@@ -12,15 +13,15 @@
 
 namespace dunehook {
 
-/** Buckets by team. */
+/** A token bucket for each team with a quota. */
 class team_quotas
 {
 public:
   /**
    * Takes one call from a team's quota.
-   * @param aState configuration; a team without a resource has no limit.
-   * @param aDaemons serving daemons, at least 1.
-   * @return zero if the call may go on, else when to come back.
+   * @param aState configuration; a team that isn't configured has no limit.
+   * @param aDaemons number of serving daemons, at least 1.
+   * @return zero if the call is admitted, else the time to wait before a retry.
    */
   duration Take(const fold& aState, const std::string& aTeam, std::size_t aDaemons, instant aNow)
   {
@@ -39,7 +40,7 @@
   }
 
 private:
-  std::map<std::string, token_bucket> mBuckets; ///< Only of teams that have a resource.
+  std::map<std::string, token_bucket> mBuckets; ///< By team; only configured teams have one.
 };
 
 } // namespace dunehook
--- a/src/callers/service_call.cpp
+++ b/src/callers/service_call.cpp
@@ -1,8 +1,8 @@
 /**
  * @file service_call.cpp
- * Calls of plain services. A call that may not be repeated is sent at most once, and its caller
- * is told exactly one of done, not-run and unknown. "not-run" is said only if no byte of the call
- * can have reached a runner and this daemon will never send it.
+ * Calls of plain services. A call that may not be repeated runs at most once, and its caller gets
+ * exactly one of the outcomes done, not-run and unknown. The outcome is not-run only if no byte of
+ * the call can have reached a runner, or the runner refused it, and this daemon will never send it.
  */
 #include "callers/frontend_base.h"
 
@@ -20,21 +20,22 @@
 
 constexpr int kMaxTries = 3;
 constexpr duration kConnectTimeout = 1s;
-constexpr duration kClaimTimeout = 3s;          ///< Longest wait for a claim to show in the fold.
-constexpr duration kClaimStatusTimeout = 300ms; ///< Longest wait for the holder of a key.
+constexpr duration kClaimTimeout =
+  3s; ///< Time limit for a claim to appear in the replicated state.
+constexpr duration kClaimStatusTimeout = 300ms; ///< Time limit of asking the holder of a key.
 constexpr duration kKeyRetryAfter = 1s;
 constexpr duration kNoRunnerRetryAfter = 2s;
 constexpr std::string_view kRefusedHeader = "X-Runner-Refused";
 
-/** What one try at a runner gave. */
+/** The result of sending a call to one runner. */
 struct send_result
 {
-  bool mSent = false;                 ///< Some byte may have reached the runner.
+  bool mSent = false;                 ///< A byte of the call may have reached the runner.
   bool mRefused = false;              ///< The runner said that it did not run the call.
-  std::optional<http_answer> mAnswer; ///< The answer, if it came whole.
+  std::optional<http_answer> mAnswer; ///< The complete answer, if there was one.
 };
 
-/** One call of a service. */
+/** Serves one call of a plain service. */
 class service_call
 {
 public:
@@ -101,7 +102,7 @@
     return chosen;
   }
 
-  /** Sends the call to one runner, on a fresh connection so that "not sent" is certain. */
+  /** Sends the call to one runner, on a new connection: if connecting fails, nothing was sent. */
   asio::awaitable<send_result> Send(host aHost)
   {
     send_result sent;
@@ -112,7 +113,7 @@
       co_return sent;
     }
     if (mExchange->CallerGone() || Now() >= mDeadline) {
-      mGivenUp = true; // A daemon that was frozen until now doesn't send.
+      mGivenUp = true; // A daemon resumed after the deadline must not send.
       co_return sent;
     }
     sent.mSent = true;
@@ -198,7 +199,7 @@
     }
   }
 
-  /** @return nothing if the key carries an issue time within the window. */
+  /** @return success if the key starts with an issue time within the claim window. */
   result<void> CheckKey(const std::string& aKey) const
   {
     std::int64_t issued = 0;
@@ -206,8 +207,8 @@
     if (dash == std::string::npos || !absl::SimpleAtoi(aKey.substr(0, dash), &issued)) {
       return make_error_code(errc::eKeyMalformed);
     }
-    // The fold's time bounds this host's clock from below: a claim that the fold has dropped
-    // belongs to a key that is refused here, whatever this host's clock says.
+    // The log's time is a lower bound for the current time. So a key whose claim has expired from
+    // the replicated state is refused here, even if this host's clock is behind.
     const auto wall = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
     const std::int64_t now = std::max(wall.count(), mFrontend.mLog.State().TimeMs());
@@ -239,7 +240,8 @@
     }
     const keyed_call* const own = mFrontend.mKeys.Calls().Find(key);
     if (own != nullptr && own->mState != keyed_state::eAbandoned) {
-      co_await RespondFromHolder(key, own->mAttempt); // Claimed here; the fold will show it.
+      co_await RespondFromHolder(
+        key, own->mAttempt); // Claimed here, but not yet read back from the log.
       co_return;
     }
     mFrontend.mKeys.Calls().Set(key, { mAttempt, keyed_state::eRunning, 0, "" });
@@ -262,7 +264,7 @@
     co_await SendAtMostOnce(key);
   }
 
-  /** Answers with what the daemon that holds the key says of its call. */
+  /** Answers with the state of the call that holds the key, as its daemon reports it. */
   asio::awaitable<void> RespondFromHolder(std::string aKey, attempt_id aHolder)
   {
     keyed_call call{ aHolder, keyed_state::eUnknown, 0, "" };
@@ -336,9 +338,9 @@
     mFrontend.mMetrics.CountCall("service", std::string(OutcomeName(aOutcome)));
   }
 
-  frontend_context& mFrontend; ///< The daemon.
-  exchange_ptr mExchange;      ///< The caller.
-  route_spec mRoute;           ///< The route as it was when the call came.
+  frontend_context& mFrontend; ///< Shared parts of the daemon.
+  exchange_ptr mExchange;      ///< The HTTP exchange with the caller.
+  route_spec mRoute;           ///< Copy of the route at arrival.
   std::string mRouteName;      ///< Name of the route.
   attempt_id mAttempt;         ///< Identifies the call; the same for every runner tried.
   instant mDeadline;           ///< Nothing is sent after this.
--- a/tests/integration/answers_test.cpp
+++ b/tests/integration/answers_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file answers_test.cpp
- * Promises: nobody receives an answer twice, and each gets the whole answer to its own request,
- * also when answers are late, crossed or torn.
+ * Each caller gets the complete answer to its own request exactly once, also when engines answer
+ * late, answer for another attempt, or cut a stream.
  */
 #include "standins/common/token_text.h"
 #include "tests/support/testbed.h"
@@ -81,7 +81,7 @@
     turns.push_back(
       std::make_unique<stream>(bed.Daemon("entry-1").mCallers, CompletionBody(prompt, 8)));
     if (number % 2 == 1) {
-      turns.back()->Close(); // Its answer comes when nobody waits for it.
+      turns.back()->Close(); // Its answer arrives after the caller has left.
     }
   }
   for (int number = 0; number < 6; number += 2) {
--- a/tests/integration/input_test.cpp
+++ b/tests/integration/input_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file input_test.cpp
- * Bad input: each gives its documented error, and the daemon serves on.
+ * Invalid settings and calls get their documented errors, and the daemon keeps serving.
  */
 #include "tests/support/testbed.h"
 
--- a/tests/integration/path_test.cpp
+++ b/tests/integration/path_test.cpp
@@ -1,6 +1,6 @@
 /**
  * @file path_test.cpp
- * The whole path with real processes: completions, services, resources.
+ * End-to-end tests with real processes: completions, services, resources.
  */
 #include "standins/common/token_text.h"
 #include "tests/support/testbed.h"
--- a/tests/integration/random_test.cpp
+++ b/tests/integration/random_test.cpp
@@ -1,6 +1,7 @@
 /**
  * @file random_test.cpp
- * A randomised mix of faults with a printed seed, bounded in time; the promises are invariants.
+ * A bounded number of random faults from a printed seed. No answer may be corrupted, no record may
+ * run twice, and each reported outcome must be true.
  */
 #include "standins/common/token_text.h"
 #include "tests/support/testbed.h"
@@ -20,7 +21,7 @@
 constexpr int kSteps = 10;
 constexpr int kCallsPerStep = 6;
 
-/** A run of steps: a fault, then calls, each checked against what the engines and services did. */
+/** Injects a fault per step, makes calls, and compares answers with what the runners did. */
 class random_run
 {
 public:
@@ -150,8 +151,8 @@
   std::mt19937 mRandom;                                                 ///< Draws faults.
   std::mutex mMutex;                                                    ///< Guards mOutcomes.
   std::map<std::string, std::pair<std::string, std::string>> mOutcomes; ///< Outcomes by record.
-  std::atomic<int> mCorruptedTexts{ 0 }; ///< Doubled, crossed or torn texts.
-  std::atomic<int> mServed{ 0 };         ///< Whole answers.
+  std::atomic<int> mCorruptedTexts{ 0 }; ///< Duplicated, mixed-up or incomplete texts.
+  std::atomic<int> mServed{ 0 };         ///< Complete answers.
 };
 
 } // namespace
--- a/tests/integration/stop_test.cpp
+++ b/tests/integration/stop_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file stop_test.cpp
- * Promises: a runner that is leaving gets no new work after a few seconds, and a planned stop of a
- * daemon or an engine cuts nothing.
+ * A leaving runner gets no new work after a few seconds, and a planned stop of a daemon or an
+ * engine interrupts no call.
  */
 #include "standins/common/token_text.h"
 #include "tests/support/testbed.h"
@@ -18,7 +18,7 @@
 
 namespace {
 
-/** Callers that go through a balancer: it asks /readyz and sends calls to daemons that say yes. */
+/** Callers behind a load balancer that sends calls only to daemons whose /readyz succeeds. */
 class balanced_load
 {
 public:
@@ -48,9 +48,9 @@
     }
   }
 
-  std::atomic<int> mDone{ 0 };    ///< Whole answers with the right text.
+  std::atomic<int> mDone{ 0 };    ///< Complete answers with the right text.
   std::atomic<int> mCut{ 0 };     ///< Anything else.
-  std::atomic<int> mRefused{ 0 }; ///< Refusals before any work, tried again.
+  std::atomic<int> mRefused{ 0 }; ///< Calls refused before they ran.
 
 private:
   std::string Target(int aCount)
@@ -79,7 +79,7 @@
     }
   }
 
-  std::function<std::vector<std::string>()> mReady; ///< The balancer's look.
+  std::function<std::vector<std::string>()> mReady; ///< Queries /readyz of all daemons.
   std::mutex mMutex;                                ///< Guards mTargets.
   std::vector<std::string> mTargets;                ///< Daemons that take calls.
   std::atomic<bool> mStop{ false };                 ///< Ends the threads.
