--- a/src/peer/peer_link.cpp
+++ b/src/peer/peer_link.cpp
@@ -14,7 +14,7 @@
 
 using json = nlohmann::json;
 
-constexpr std::size_t kMaxLine = std::size_t{ 16 } << 20U;
+constexpr std::size_t kMaxLineBytes = std::size_t{ 16 } << 20U;
 
 asio::awaitable<result<std::string>>
 ReadLine(tcp::socket& aSocket, std::string& aBuffer)
@@ -22,7 +22,7 @@
   boost::system::error_code error;
   const std::size_t length =
     co_await asio::async_read_until(aSocket,
-                                    asio::dynamic_buffer(aBuffer, kMaxLine),
+                                    asio::dynamic_buffer(aBuffer, kMaxLineBytes),
                                     '\n',
                                     asio::redirect_error(asio::use_awaitable, error));
   if (error) {
@@ -53,17 +53,18 @@
 } // namespace
 
 bool
-SecretsEqual(std::string_view aOne, std::string_view aTwo)
+SecretsEqual(std::string_view aLeft, std::string_view aRight)
 {
-  return aOne.size() == aTwo.size() && CRYPTO_memcmp(aOne.data(), aTwo.data(), aOne.size()) == 0;
+  return aLeft.size() == aRight.size() &&
+         CRYPTO_memcmp(aLeft.data(), aRight.data(), aLeft.size()) == 0;
 }
 
 peer_link::peer_link(asio::io_context& aIo, endpoint aTo, std::string aSecret)
   : mIo(aIo)
-  , mTo(std::move(aTo))
+  , mPeerAddress(std::move(aTo))
   , mSecret(std::move(aSecret))
-  , mConnected(aIo)
-  , mWork(aIo)
+  , mConnectEnded(aIo)
+  , mSendReady(aIo)
 {
 }
 
@@ -71,28 +72,28 @@
 peer_link::Connect(duration aLimit)
 {
   while (mConnecting) {
-    co_await mConnected.Wait(aLimit);
+    co_await mConnectEnded.Wait(aLimit);
   }
   if (mSocket) {
     co_return boost::outcome_v2::success();
   }
   mConnecting = true;
   boost::system::error_code error;
-  const auto address = asio::ip::make_address(mTo.mAddress, error);
+  const auto address = asio::ip::make_address(mPeerAddress.mAddress, error);
   beast::tcp_stream stream(mIo);
   stream.expires_after(aLimit);
   if (!error) {
-    co_await stream.async_connect(tcp::endpoint(address, mTo.mPort),
+    co_await stream.async_connect(tcp::endpoint(address, mPeerAddress.mPort),
                                   asio::redirect_error(asio::use_awaitable, error));
   }
   mConnecting = false;
-  mConnected.Notify();
+  mConnectEnded.Notify();
   if (error) {
     co_return make_error_code(errc::eConnectFailed);
   }
   mSocket = std::make_shared<tcp::socket>(stream.release_socket());
   mSocket->set_option(tcp::no_delay(true), error);
-  mOutbox = mSecret + "\n";
+  mUnsentLines = mSecret + "\n";
   Spawn(mIo, ReadLoop(mSocket));
   Spawn(mIo, WriteLoop(mSocket));
   co_return boost::outcome_v2::success();
@@ -108,11 +109,11 @@
   mPending[id] = pending;
   json request{ { "jsonrpc", "2.0" }, { "id", id }, { "method", std::move(aMethod) } };
   request["params"]["message"] = std::move(aMessage);
-  mOutbox += request.dump(-1, ' ', false, json::error_handler_t::replace);
-  mOutbox += '\n';
-  mWork.Notify();
+  mUnsentLines += request.dump(-1, ' ', false, json::error_handler_t::replace);
+  mUnsentLines += '\n';
+  mSendReady.Notify();
   if (!pending->mEnded) {
-    co_await pending->mDone.Wait(aLimit);
+    co_await pending->mCompleted.Wait(aLimit);
   }
   mPending.erase(id);
   if (!pending->mEnded) {
@@ -130,14 +131,14 @@
 asio::awaitable<void>
 peer_link::WriteLoop(std::shared_ptr<tcp::socket> aSocket)
 {
-  constexpr duration kForever = std::chrono::hours(1);
+  constexpr duration kIdleWait = std::chrono::hours(1);
   const auto self = shared_from_this();
   while (mSocket == aSocket) {
-    if (mOutbox.empty()) {
-      co_await mWork.Wait(kForever);
+    if (mUnsentLines.empty()) {
+      co_await mSendReady.Wait(kIdleWait);
       continue;
     }
-    const std::string text = std::exchange(mOutbox, {});
+    const std::string text = std::exchange(mUnsentLines, {});
     if (!co_await WriteText(*aSocket, text)) {
       CloseSocket(*aSocket);
       co_return;
@@ -163,13 +164,13 @@
     if (found != mPending.end()) {
       found->second->mResponse = std::move(response);
       found->second->mEnded = true;
-      found->second->mDone.Notify();
+      found->second->mCompleted.Notify();
     }
   }
   CloseSocket(*aSocket);
   if (mSocket == aSocket) {
     mSocket.reset();
-    mWork.Notify();
+    mSendReady.Notify();
     FailPending();
   }
 }
@@ -179,7 +180,7 @@
 {
   for (const auto& [id, pending] : mPending) {
     pending->mEnded = true;
-    pending->mDone.Notify();
+    pending->mCompleted.Notify();
   }
 }
 
--- a/src/peer/peer_link.h
+++ b/src/peer/peer_link.h
@@ -38,10 +38,10 @@
   struct pending_call
   {
     explicit pending_call(asio::io_context& aIo)
-      : mDone(aIo)
+      : mCompleted(aIo)
     {
     }
-    wake_list mDone;                         ///< Woken when the call ends.
+    wake_list mCompleted;                    ///< Woken when the call ends.
     bool mEnded = false;                     ///< The response came or the connection ended.
     std::optional<nlohmann::json> mResponse; ///< The response, if it came.
   };
@@ -52,13 +52,13 @@
   void FailPending();
 
   asio::io_context& mIo;                ///< Runs the loops.
-  endpoint mTo;                         ///< The other daemon.
+  endpoint mPeerAddress;                ///< The other daemon.
   std::string mSecret;                  ///< Sent first.
   std::shared_ptr<tcp::socket> mSocket; ///< Null while not connected.
   bool mConnecting = false;             ///< A connect is under way.
-  wake_list mConnected;                 ///< Woken when a connect ends.
-  std::string mOutbox;                  ///< Lines not written yet.
-  wake_list mWork;                      ///< Woken when mOutbox has lines.
+  wake_list mConnectEnded;              ///< Woken when a connect ends.
+  std::string mUnsentLines;             ///< Lines not written yet.
+  wake_list mSendReady;                 ///< Woken when mUnsentLines has lines.
   std::uint64_t mNextId = 1;            ///< Id of the next call.
   std::unordered_map<std::uint64_t, std::shared_ptr<pending_call>> mPending; ///< By id.
 };
@@ -98,6 +98,6 @@
 
 /** @return whether two secrets are equal, in a time that doesn't depend on where they differ. */
 bool
-SecretsEqual(std::string_view aOne, std::string_view aTwo);
+SecretsEqual(std::string_view aLeft, std::string_view aRight);
 
 } // namespace dunehook
