--- a/src/peer/peer_link.cpp
+++ b/src/peer/peer_link.cpp
@@ -1,6 +1,6 @@
 /**
  * @file peer_link.cpp
- * Transport of calls between daemons.
+ * Connections for JSON-RPC calls between daemons.
  */
 #include "peer/peer_link.h"
 
--- a/src/peer/peer_link.h
+++ b/src/peer/peer_link.h
@@ -1,7 +1,7 @@
 /**
  * @file peer_link.h
- * Calls between daemons: JSON-RPC lines over TCP. The first line of a connection is the common
- * secret; many calls share a connection and are told apart by their ids.
+ * JSON-RPC calls between daemons, one message per line over TCP. The first line of a connection is
+ * the shared secret. Concurrent calls share a connection and are matched to responses by id.
  */
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace dunehook {
 
-/** Calls to one other daemon. */
+/** Client connection to one other daemon; connects when a call needs it. */
 class peer_link : public std::enable_shared_from_this<peer_link>
 {
 public:
@@ -24,17 +24,18 @@
 
   /**
    * Calls a method.
-   * @param aMessage its parameters.
+   * @param aMessage its "message" parameter.
+   * @param aLimit time limit of the connect and again of the response.
    * @return the result, eConnectFailed, eConnectionLost, eDeadlinePassed or eBadRequest.
    */
   asio::awaitable<result<nlohmann::json>> Call(std::string aMethod,
                                                nlohmann::json aMessage,
                                                duration aLimit);
-  /** Ends the connection; waiting calls fail. */
+  /** Closes the connection; pending calls fail. */
   void Close();
 
 private:
-  /** A call whose response hasn't come. */
+  /** A call without a response yet. */
   struct pending_call
   {
     explicit pending_call(asio::io_context& aIo)
@@ -43,7 +44,7 @@
     }
     wake_list mCompleted;                    ///< Woken when the call ends.
     bool mEnded = false;                     ///< The response came or the connection ended.
-    std::optional<nlohmann::json> mResponse; ///< The response, if it came.
+    std::optional<nlohmann::json> mResponse; ///< The response, if one came.
   };
 
   asio::awaitable<result<void>> Connect(duration aLimit);
@@ -51,19 +52,20 @@
   asio::awaitable<void> WriteLoop(std::shared_ptr<tcp::socket> aSocket);
   void FailPending();
 
-  asio::io_context& mIo;                ///< Runs the loops.
-  endpoint mPeerAddress;                ///< The other daemon.
-  std::string mSecret;                  ///< Sent first.
+  asio::io_context& mIo;                ///< Event loop of the read and write loops.
+  endpoint mPeerAddress;                ///< Address of the other daemon.
+  std::string mSecret;                  ///< Shared secret; sent as the first line.
   std::shared_ptr<tcp::socket> mSocket; ///< Null while not connected.
-  bool mConnecting = false;             ///< A connect is under way.
+  bool mConnecting = false;             ///< A connect is in progress.
   wake_list mConnectEnded;              ///< Woken when a connect ends.
-  std::string mUnsentLines;             ///< Lines not written yet.
-  wake_list mSendReady;                 ///< Woken when mUnsentLines has lines.
+  std::string mUnsentLines;             ///< Lines not handed to the socket yet.
+  wake_list mSendReady;                 ///< Woken when lines are added or the connection ends.
   std::uint64_t mNextId = 1;            ///< Id of the next call.
-  std::unordered_map<std::uint64_t, std::shared_ptr<pending_call>> mPending; ///< By id.
+  std::unordered_map<std::uint64_t, std::shared_ptr<pending_call>>
+    mPending; ///< Calls by request id.
 };
 
-/** Takes connections of other daemons and answers their calls. */
+/** Accepts connections of other daemons and answers their calls. */
 class peer_listener
 {
 public:
@@ -90,13 +92,13 @@
   asio::awaitable<void> AcceptLoop();
   asio::awaitable<void> Serve(tcp::socket aSocket);
 
-  asio::io_context& mIo;       ///< Runs the sessions.
+  asio::io_context& mIo;       ///< Event loop of the sessions.
   tcp::acceptor mAcceptor;     ///< The listening socket.
-  std::string mSecret;         ///< Expected first.
-  rpc_dispatcher& mDispatcher; ///< Answers.
+  std::string mSecret;         ///< Shared secret; expected as the first line.
+  rpc_dispatcher& mDispatcher; ///< Executes the calls.
 };
 
-/** @return whether two secrets are equal, in a time that doesn't depend on where they differ. */
+/** @return whether two secrets are equal; takes the same time wherever they differ. */
 bool
 SecretsEqual(std::string_view aLeft, std::string_view aRight);
 
--- a/src/peer/rpc_dispatcher.cpp
+++ b/src/peer/rpc_dispatcher.cpp
@@ -1,6 +1,6 @@
 /**
  * @file rpc_dispatcher.cpp
- * Adapter to libjsonrpccpp, built as C++14.
+ * Adapter to libjsonrpccpp. This file is built as C++14.
  */
 #include "peer/rpc_dispatcher.h"
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** Keeps the response in place of sending it: the caller has a transport of its own. */
+/** Stores the response instead of sending it, since peer_listener has its own transport. */
 class memory_connector : public jsonrpc::AbstractServerConnector
 {
 public:
@@ -31,7 +31,7 @@
 
 } // namespace
 
-/** The library's server over the adapter's method table. */
+/** Connects the library's protocol handler to the method table. */
 class rpc_dispatcher::server : public jsonrpc::IProcedureInvokationHandler
 {
 public:
@@ -77,9 +77,9 @@
   }
 
 private:
-  memory_connector mConnector;                         ///< Takes responses.
-  std::unique_ptr<jsonrpc::IProtocolHandler> mHandler; ///< Reads requests.
-  std::map<std::string, rpc_method> mMethods;          ///< By name.
+  memory_connector mConnector;                         ///< Receives responses.
+  std::unique_ptr<jsonrpc::IProtocolHandler> mHandler; ///< Parses requests.
+  std::map<std::string, rpc_method> mMethods;          ///< Methods by name.
 };
 
 rpc_dispatcher::rpc_dispatcher()
--- a/src/peer/rpc_dispatcher.h
+++ b/src/peer/rpc_dispatcher.h
@@ -1,8 +1,7 @@
 /**
  * @file rpc_dispatcher.h
- * JSON-RPC 2.0 calls of other daemons, taken apart and answered by libjsonrpccpp. The library's
- * headers compile only as C++14, so nothing of them shows here and only rpc_dispatcher.cpp, which
- * is built as C++14, includes them.
+ * Dispatch of JSON-RPC 2.0 calls of other daemons by libjsonrpccpp. The library's headers compile
+ * only as C++14, so only rpc_dispatcher.cpp, which is built as C++14, includes them.
  */
 #pragma once
 
@@ -13,10 +12,10 @@
 
 namespace dunehook {
 
-/** Answers a method: JSON text of the parameters in, JSON text of the result out. */
+/** Handler of a method. @param aMessage JSON text. @return the result as JSON text. */
 using rpc_method = std::function<std::string(const std::string& aMessage)>;
 
-/** Methods by name, called by JSON-RPC requests. */
+/** Executes JSON-RPC requests with the methods registered by name. */
 class rpc_dispatcher
 {
 public:
@@ -28,12 +27,12 @@
   /** Adds a method that takes one object named "message" and returns an object. */
   void Add(const std::string& aName, rpc_method aMethod);
 
-  /** @return the JSON-RPC response to a request, an error response if it can't be read. */
+  /** @return the JSON-RPC response; an error response if the request can't be parsed. */
   std::string Handle(const std::string& aRequest);
 
 private:
   class server;
-  std::unique_ptr<server> mServer; ///< The library's side.
+  std::unique_ptr<server> mServer; ///< Hides the library's types.
 };
 
 } // namespace dunehook
