--- a/src/callers/service_call.cpp
+++ b/src/callers/service_call.cpp
@@ -20,8 +20,7 @@
 
 constexpr int kMaxTries = 3;
 constexpr duration kConnectTimeout = 1s;
-constexpr duration kClaimTimeout =
-  3s; ///< Time limit for a claim to appear in the replicated state.
+constexpr duration kClaimTimeout = 3s;          ///< Limit for a claim to appear in the log state.
 constexpr duration kClaimStatusTimeout = 300ms; ///< Time limit of asking the holder of a key.
 constexpr duration kKeyRetryAfter = 1s;
 constexpr duration kNoRunnerRetryAfter = 2s;
@@ -240,8 +239,7 @@
     }
     const keyed_call* const own = mFrontend.mKeys.Calls().Find(key);
     if (own != nullptr && own->mState != keyed_state::eAbandoned) {
-      co_await RespondFromHolder(
-        key, own->mAttempt); // Claimed here, but not yet read back from the log.
+      co_await RespondFromHolder(key, own->mAttempt); // Not yet read back from the log.
       co_return;
     }
     mFrontend.mKeys.Calls().Set(key, { mAttempt, keyed_state::eRunning, 0, "" });
