--- a/src/callers/completion_session.cpp
+++ b/src/callers/completion_session.cpp
@@ -252,7 +252,7 @@
   mEnded = true;
   mFrontend.mMetrics.CountCall("completion", "taken-over");
   LogEvent(log_level::eInfo, "taken_over", { { "request", ToText(mAttempt) } });
-  mExchange->Tear();
+  mExchange->Abort();
   co_await GiveUp();
 }
 
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -153,7 +153,7 @@
   mOwners.Start();
   mRoles.Start();
   Spawn(mIo,
-        TakeDatagrams(
+        ReceiveDatagrams(
           mDatagrams, kMaxDatagram, [this](std::string_view aData, const udp::endpoint& /*aFrom*/) {
             TakeChanges(mMembers.Receive(aData, Now()));
           }));
--- a/src/links/daemon_link.cpp
+++ b/src/links/daemon_link.cpp
@@ -87,14 +87,14 @@
   mReady = std::move(aReady);
   SpawnGuarded(mState.mIo, SendHeartbeats());
   SpawnGuarded(mState.mIo,
-               TakeDatagrams(mHeartbeats,
-                             kHeartbeatMost,
-                             [this](std::string_view aData, const udp::endpoint& /*aFrom*/) {
-                               TakeHeartbeat(aData, mState.Now());
-                             }));
+               ReceiveDatagrams(mHeartbeats,
+                                kHeartbeatMost,
+                                [this](std::string_view aData, const udp::endpoint& /*aFrom*/) {
+                                  TakeHeartbeat(aData, mState.Now());
+                                }));
   SpawnGuarded(
     mState.mIo,
-    TakeDatagrams(mRuns, kRunBytes, [this](std::string_view aData, const udp::endpoint& aFrom) {
+    ReceiveDatagrams(mRuns, kRunBytes, [this](std::string_view aData, const udp::endpoint& aFrom) {
       const instant now = mState.Now();
       if (const auto message = DecodeRunMessage(aData, now)) {
         Apply(*message, aFrom, now);
--- a/src/links/placer_link.cpp
+++ b/src/links/placer_link.cpp
@@ -47,11 +47,11 @@
 {
   mReady = std::move(aReady);
   SpawnGuarded(mState.mIo,
-               TakeDatagrams(mSocket,
-                             kQuestionBytes,
-                             [this](std::string_view aData, const udp::endpoint& aFrom) {
-                               Take(aData, aFrom);
-                             }));
+               ReceiveDatagrams(mSocket,
+                                kQuestionBytes,
+                                [this](std::string_view aData, const udp::endpoint& aFrom) {
+                                  Take(aData, aFrom);
+                                }));
   SpawnGuarded(mState.mIo, TickQueue());
   SpawnGuarded(mState.mIo, SendDigests());
 }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -75,7 +75,7 @@
 http_connection::ReadSome(std::string& aOut, duration aLimit)
 {
   result<bool> more =
-    co_await ReadPiece<kReadBytes>(mStream, mLimit, mBuffer, *mParser, aOut, aLimit);
+    co_await ReadSomeBody<kReadBytes>(mStream, mLimit, mBuffer, *mParser, aOut, aLimit);
   if (more && !more.value()) {
     mReusable = mParser->keep_alive();
   }
@@ -122,7 +122,7 @@
 }
 
 asio::awaitable<result<http_connection_ptr>>
-http_pool::Take(const endpoint& aTo, duration aLimit)
+http_pool::Acquire(const endpoint& aTo, duration aLimit)
 {
   auto& idle = mIdle[aTo];
   while (!idle.empty()) {
@@ -136,16 +136,16 @@
 }
 
 void
-http_pool::Give(const endpoint& aTo, http_connection_ptr aConnection)
+http_pool::Release(const endpoint& aTo, http_connection_ptr aConnection)
 {
   auto& idle = mIdle[aTo];
-  if (aConnection->Reusable() && idle.size() < kMaxIdle) {
+  if (aConnection->Reusable() && idle.size() < kMaxIdlePerEndpoint) {
     idle.push_back(std::move(aConnection));
   }
 }
 
 void
-http_pool::NoteEnd(const endpoint& aTo, const std::error_code& aError)
+http_pool::DropIfTimedOut(const endpoint& aTo, const std::error_code& aError)
 {
   if (aError == errc::eDeadlinePassed) {
     Drop(aTo);
@@ -155,16 +155,16 @@
 asio::awaitable<result<http_answer>>
 http_pool::Call(const endpoint& aTo, const http_call& aCall, duration aLimit)
 {
-  BOOST_OUTCOME_CO_TRY(http_connection_ptr connection, co_await Take(aTo, aLimit));
+  BOOST_OUTCOME_CO_TRY(http_connection_ptr connection, co_await Acquire(aTo, aLimit));
   result<http_answer> answer = co_await connection->Call(aCall, aLimit);
   if (!answer && answer.error() == errc::eConnectionLost) {
     BOOST_OUTCOME_CO_TRY(connection, co_await http_connection::Connect(aTo, aLimit));
     answer = co_await connection->Call(aCall, aLimit);
   }
   if (answer) {
-    Give(aTo, std::move(connection));
+    Release(aTo, std::move(connection));
   } else {
-    NoteEnd(aTo, answer.error());
+    DropIfTimedOut(aTo, answer.error());
   }
   co_return answer;
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -85,7 +85,7 @@
   std::string Header(std::string_view aName) const;
 
 private:
-  using response_parser = piece_parser;
+  using response_parser = body_parser;
 
   beast::tcp_stream mStream;              ///< The socket.
   stream_limit mLimit;                    ///< Time for what is under way.
@@ -101,13 +101,13 @@
 {
 public:
   /** @return a kept or fresh connection. */
-  asio::awaitable<result<http_connection_ptr>> Take(const endpoint& aTo, duration aLimit);
+  asio::awaitable<result<http_connection_ptr>> Acquire(const endpoint& aTo, duration aLimit);
   /** Drops the kept connections to @p aTo, for after a failure: all may have fallen silent. */
   void Drop(const endpoint& aTo) { mIdle.erase(aTo); }
   /** Keeps @p aConnection for later if it can carry another request. */
-  void Give(const endpoint& aTo, http_connection_ptr aConnection);
+  void Release(const endpoint& aTo, http_connection_ptr aConnection);
   /** Drops the kept connections to @p aTo if a call there ended by its time limit. */
-  void NoteEnd(const endpoint& aTo, const std::error_code& aError);
+  void DropIfTimedOut(const endpoint& aTo, const std::error_code& aError);
   /**
    * Sends a request that may be repeated: a stale kept connection is replaced once. After a call
    * that ended by its time limit the next one has a fresh connection: kept ones may all have
@@ -118,7 +118,7 @@
                                             duration aLimit);
 
 private:
-  static constexpr std::size_t kMaxIdle = 64; ///< Connections kept for one endpoint.
+  static constexpr std::size_t kMaxIdlePerEndpoint = 64; ///< Connections kept for one endpoint.
   std::unordered_map<endpoint, std::deque<http_connection_ptr>> mIdle; ///< Newest at the back.
 };
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -35,7 +35,7 @@
 struct close_watch
 {
   std::weak_ptr<http_exchange> mExchange; ///< The exchange under way.
-  bool mDone = false;                     ///< The handler has returned.
+  bool mHandlerDone = false;              ///< The handler has returned.
 };
 
 asio::awaitable<void>
@@ -44,14 +44,14 @@
   boost::system::error_code error;
   co_await aStream.socket().async_wait(tcp::socket::wait_read,
                                        asio::redirect_error(asio::use_awaitable, error));
-  if (aWatch->mDone) {
+  if (aWatch->mHandlerDone) {
     co_return;
   }
   if (!error && !PeerClosed(aStream.socket())) {
     co_return; // A pipelined request: the close, if any, shows at the next write.
   }
   if (const auto exchange = aWatch->mExchange.lock()) {
-    exchange->NoteCallerGone();
+    exchange->HandleCallerGone();
   }
 }
 
@@ -102,12 +102,12 @@
   response.body() = std::move(aBody);
   response.prepare_payload();
   boost::system::error_code error;
-  mStream.expires_after(mWriteTime);
+  mStream.expires_after(mWriteTimeout);
   co_await http::async_write(mStream, response, asio::redirect_error(asio::use_awaitable, error));
   mStream.expires_never();
   mAnswered = !error;
   if (error) {
-    NoteCallerGone();
+    HandleCallerGone();
   }
 }
 
@@ -137,15 +137,15 @@
 }
 
 void
-http_exchange::Tear()
+http_exchange::Abort()
 {
-  mTorn = true;
+  mAborted = true;
   boost::system::error_code ignored;
   mStream.socket().shutdown(tcp::socket::shutdown_both, ignored);
 }
 
 void
-http_exchange::NoteCallerGone()
+http_exchange::HandleCallerGone()
 {
   if (mCallerGone) {
     return;
@@ -165,13 +165,13 @@
     co_return false;
   }
   boost::system::error_code error;
-  mStream.expires_after(mWriteTime);
+  mStream.expires_after(mWriteTimeout);
   co_await asio::async_write(mStream,
                              asio::buffer(aBytes.data(), aBytes.size()),
                              asio::redirect_error(asio::use_awaitable, error));
   mStream.expires_never();
   if (error) {
-    NoteCallerGone();
+    HandleCallerGone();
   }
   co_return !error;
 }
@@ -216,7 +216,7 @@
       co_await Sleep(std::chrono::milliseconds(10));
       continue;
     }
-    if (mOpen >= mLimits.mConnections) {
+    if (mOpenConnections >= mLimits.mConnections) {
       continue; // The socket closes here: the balancer tries another host.
     }
     socket.set_option(tcp::no_delay(true), error);
@@ -227,14 +227,14 @@
 asio::awaitable<void>
 http_listener::Serve(tcp::socket aSocket)
 {
-  ++mOpen;
+  ++mOpenConnections;
   beast::tcp_stream stream(std::move(aSocket));
   beast::flat_buffer buffer;
   bool more = true;
   while (more) {
     more = co_await ServeOne(stream, buffer);
   }
-  --mOpen;
+  --mOpenConnections;
 }
 
 asio::awaitable<bool>
@@ -244,12 +244,12 @@
   parser.header_limit(mLimits.mHeaderBytes);
   parser.body_limit(mLimits.mBodyBytes);
   boost::system::error_code error;
-  aStream.expires_after(mLimits.mReadTime);
+  aStream.expires_after(mLimits.mReadTimeout);
   co_await http::async_read(
     aStream, aBuffer, parser, asio::redirect_error(asio::use_awaitable, error));
   aStream.expires_never();
   const auto exchange =
-    std::make_shared<http_exchange>(aStream, parser.release(), mLimits.mWriteTime);
+    std::make_shared<http_exchange>(aStream, parser.release(), mLimits.mWriteTimeout);
   if (error == http::error::body_limit) {
     co_await exchange->Respond(413, ErrorBody("body_too_large", "the body is over the limit"));
     co_return false;
@@ -269,7 +269,7 @@
   watch->mExchange = exchange;
   Spawn(mIo, WatchForClose(aStream, watch));
   co_await mHandler(exchange);
-  watch->mDone = true;
+  watch->mHandlerDone = true;
   boost::system::error_code ignored;
   aStream.socket().cancel(ignored);
   co_return exchange->Answered() && exchange->KeepAlive();
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -19,9 +19,9 @@
 {
   std::uint32_t mHeaderBytes = 16384;                   ///< Largest request head.
   std::uint64_t mBodyBytes = std::uint64_t{ 1 } << 20U; ///< Largest request body.
-  duration mReadTime = std::chrono::seconds(30);  ///< Longest read of one request, and idle time.
-  duration mWriteTime = std::chrono::seconds(10); ///< Longest wait for the peer to take bytes.
-  std::size_t mConnections = 4096;                ///< Most connections at once.
+  duration mReadTimeout = std::chrono::seconds(30); ///< Longest read of one request, and idle time.
+  duration mWriteTimeout = std::chrono::seconds(10); ///< Longest wait for the peer to take bytes.
+  std::size_t mConnections = 4096;                   ///< Most connections at once.
 
   auto operator<=>(const http_limits&) const = default;
 };
@@ -32,10 +32,10 @@
 public:
   http_exchange(beast::tcp_stream& aStream,
                 http::request<http::string_body> aRequest,
-                duration aWriteTime)
+                duration aWriteTimeout)
     : mStream(aStream)
     , mRequest(std::move(aRequest))
-    , mWriteTime(aWriteTime)
+    , mWriteTimeout(aWriteTimeout)
   {
   }
 
@@ -62,29 +62,29 @@
   /** Ends a chunked answer. */
   asio::awaitable<void> EndStream();
   /** Ends the connection in place of a whole answer, so that the peer sees a torn one. */
-  void Tear();
+  void Abort();
 
   /** @param aCallback called once when the caller closes its connection before the answer ends. */
   void OnCallerGone(std::function<void()> aCallback) { mOnCallerGone = std::move(aCallback); }
   bool CallerGone() const { return mCallerGone; }
   bool Streaming() const { return mStreaming; }
   bool Answered() const { return mAnswered; }
-  bool KeepAlive() const { return mRequest.keep_alive() && !mTorn; }
+  bool KeepAlive() const { return mRequest.keep_alive() && !mAborted; }
 
   /** For the listener: notes that the peer closed, and calls back. */
-  void NoteCallerGone();
+  void HandleCallerGone();
 
 private:
   asio::awaitable<bool> WriteAll(std::string_view aBytes);
 
   beast::tcp_stream& mStream;                ///< The caller's connection.
   http::request<http::string_body> mRequest; ///< The request.
-  duration mWriteTime;                       ///< Longest wait for the peer to take bytes.
+  duration mWriteTimeout;                    ///< Longest wait for the peer to take bytes.
   std::function<void()> mOnCallerGone;       ///< Called at most once.
   bool mCallerGone = false;                  ///< The peer closed or can't be written to.
   bool mStreaming = false;                   ///< Head of a chunked answer sent.
   bool mAnswered = false;                    ///< The answer is whole.
-  bool mTorn = false;                        ///< Ended by Tear().
+  bool mAborted = false;                     ///< Ended by Abort().
 };
 
 using exchange_ptr = std::shared_ptr<http_exchange>;
@@ -118,18 +118,18 @@
   endpoint Address() const;
   /** Takes no further connections; those there are served on. */
   void StopAccepting();
-  std::size_t Connections() const { return mOpen; }
+  std::size_t Connections() const { return mOpenConnections; }
 
 private:
   asio::awaitable<void> AcceptLoop();
   asio::awaitable<void> Serve(tcp::socket aSocket);
   asio::awaitable<bool> ServeOne(beast::tcp_stream& aStream, beast::flat_buffer& aBuffer);
 
-  asio::io_context& mIo;   ///< Runs every session.
-  tcp::acceptor mAcceptor; ///< The listening socket.
-  http_limits mLimits;     ///< Limits of each session.
-  http_handler mHandler;   ///< Called for each request.
-  std::size_t mOpen = 0;   ///< Sessions; at most mLimits.mConnections are served.
+  asio::io_context& mIo;            ///< Runs every session.
+  tcp::acceptor mAcceptor;          ///< The listening socket.
+  http_limits mLimits;              ///< Limits of each session.
+  http_handler mHandler;            ///< Called for each request.
+  std::size_t mOpenConnections = 0; ///< Sessions; at most mLimits.mConnections are served.
 };
 
 /** @return a JSON error body with a stable code. @param aDetail what a person needs to know. */
--- a/src/net/net.cpp
+++ b/src/net/net.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr int kBacklog = 1024; ///< Connections that wait to be accepted.
+constexpr int kListenBacklog = 1024; ///< Connections that wait to be accepted.
 
 /** Writes a line on an exception that a task has ended with. */
 void
@@ -44,7 +44,7 @@
     acceptor.bind(local, error);
   }
   if (!error) {
-    acceptor.listen(kBacklog, error);
+    acceptor.listen(kListenBacklog, error);
   }
   if (error) {
     return make_error_code(errc::eConnectFailed);
@@ -135,9 +135,9 @@
 }
 
 asio::awaitable<void>
-TakeDatagrams(asio::ip::udp::socket& aSocket, std::size_t aMost, datagram_handler aTake)
+ReceiveDatagrams(asio::ip::udp::socket& aSocket, std::size_t aMaxBytes, datagram_handler aHandler)
 {
-  std::string data(aMost, '\0');
+  std::string data(aMaxBytes, '\0');
   for (;;) {
     asio::ip::udp::endpoint from;
     boost::system::error_code error;
@@ -147,7 +147,7 @@
       co_return;
     }
     if (!error) { // Else an earlier datagram couldn't be delivered; silence shows it.
-      aTake({ data.data(), got }, from);
+      aHandler({ data.data(), got }, from);
     }
   }
 }
--- a/src/net/net_type.h
+++ b/src/net/net_type.h
@@ -83,9 +83,10 @@
   return { aEndpoint.address().to_string(), aEndpoint.port() };
 }
 
-/** Hands on all datagrams that come to a socket until it's closed. @param aMost bytes of one. */
+/** Hands on all datagrams that come to a socket until it's closed. @param aMaxBytes bytes of one.
+ */
 asio::awaitable<void>
-TakeDatagrams(asio::ip::udp::socket& aSocket, std::size_t aMost, datagram_handler aTake);
+ReceiveDatagrams(asio::ip::udp::socket& aSocket, std::size_t aMaxBytes, datagram_handler aHandler);
 
 /** Suspends the calling coroutine for @p aSpan. */
 asio::awaitable<void>
--- a/src/net/stream_limit.cpp
+++ b/src/net/stream_limit.cpp
@@ -41,12 +41,12 @@
 void
 stream_limit::Set(duration aLimit)
 {
-  const std::uint64_t round = ++mState->mRound;
+  const std::uint64_t generation = ++mState->mGeneration;
   mState->mTimer.expires_after(std::max(duration{ 0 }, aLimit));
-  mState->mTimer.async_wait([state = mState, round](const boost::system::error_code& aError) {
-    const bool ended = aError || state->mRound != round || state->mStream == nullptr;
+  mState->mTimer.async_wait([state = mState, generation](const boost::system::error_code& aError) {
+    const bool ended = aError || state->mGeneration != generation || state->mStream == nullptr;
     if (!ended) {
-      state->mPassed = true;
+      state->mExpired = true;
       state->mStream->close();
     }
   });
@@ -55,7 +55,7 @@
 void
 stream_limit::Clear()
 {
-  ++mState->mRound;
+  ++mState->mGeneration;
   mState->mTimer.cancel();
 }
 
--- a/src/net/stream_limit.h
+++ b/src/net/stream_limit.h
@@ -31,7 +31,7 @@
   /** @return why an operation on the stream failed: eDeadlinePassed or eConnectionLost. */
   std::error_code Cause() const
   {
-    return make_error_code(mState->mPassed ? errc::eDeadlinePassed : errc::eConnectionLost);
+    return make_error_code(mState->mExpired ? errc::eDeadlinePassed : errc::eConnectionLost);
   }
 
 private:
@@ -44,17 +44,17 @@
     {
     }
 
-    beast::tcp_stream* mStream; ///< Null once the limit has ended.
-    boot_timer mTimer;          ///< Runs while there's a limit.
-    std::uint64_t mRound = 0;   ///< Counts changes: a handler of a former limit does nothing.
-    bool mPassed = false;       ///< The stream was closed.
+    beast::tcp_stream* mStream;    ///< Null once the limit has ended.
+    boot_timer mTimer;             ///< Runs while there's a limit.
+    std::uint64_t mGeneration = 0; ///< Counts changes: a handler of a former limit does nothing.
+    bool mExpired = false;         ///< The stream was closed.
   };
 
   std::shared_ptr<limit_state> mState; ///< Never null.
 };
 
 /** Reads answers piece by piece. */
-using piece_parser = http::response_parser<http::buffer_body>;
+using body_parser = http::response_parser<http::buffer_body>;
 
 /**
  * Reads some of an answer's body.
@@ -66,12 +66,12 @@
  */
 template<std::size_t Most>
 asio::awaitable<result<bool>>
-ReadPiece(beast::tcp_stream& aStream,
-          stream_limit& aLimit,
-          beast::flat_buffer& aBuffer,
-          piece_parser& aParser,
-          std::string& aOut,
-          duration aTime)
+ReadSomeBody(beast::tcp_stream& aStream,
+             stream_limit& aLimit,
+             beast::flat_buffer& aBuffer,
+             body_parser& aParser,
+             std::string& aOut,
+             duration aTime)
 {
   if (aParser.is_done()) {
     co_return false;
--- a/src/runners/engine_client.cpp
+++ b/src/runners/engine_client.cpp
@@ -125,7 +125,7 @@
                        duration aLimit,
                        http_connection_ptr& aConnection)
 {
-  BOOST_OUTCOME_CO_TRY(aConnection, co_await mPool.Take(aEngine, aLimit));
+  BOOST_OUTCOME_CO_TRY(aConnection, co_await mPool.Acquire(aEngine, aLimit));
   const http_connection_ptr connection = aConnection;
   const http_call call = PostCall("/v1/prefill",
                                   { { "attempt", ToText(aCall.mAttempt) },
@@ -134,14 +134,14 @@
                                     { "priority", aCall.mPriority } });
   const result<json> body = ParseAnswer(co_await connection->Call(call, aLimit));
   if (!body) {
-    mPool.NoteEnd(aEngine, body.error());
+    mPool.DropIfTimedOut(aEngine, body.error());
     co_return body.error();
   }
   if (!Echoes(body.value(), aCall.mAttempt)) {
     connection->Abort();
     co_return make_error_code(errc::eWrongAnswer);
   }
-  mPool.Give(aEngine, connection);
+  mPool.Release(aEngine, connection);
   co_return prefill_answer{ body.value().value("bytes", std::uint64_t{ 0 }),
                             body.value().value("cached", std::uint32_t{ 0 }),
                             body.value().value("tokens", std::uint32_t{ 0 }) };
@@ -168,14 +168,15 @@
 asio::awaitable<result<http_connection_ptr>>
 engine_client::Decode(endpoint aEngine, decode_call aCall, duration aLimit)
 {
-  BOOST_OUTCOME_CO_TRY(const http_connection_ptr connection, co_await mPool.Take(aEngine, aLimit));
+  BOOST_OUTCOME_CO_TRY(const http_connection_ptr connection,
+                       co_await mPool.Acquire(aEngine, aLimit));
   const http_call call = PostCall("/v1/decode",
                                   { { "attempt", ToText(aCall.mAttempt) },
                                     { "start", aCall.mStartIndex },
                                     { "max_tokens", aCall.mMaxTokens } });
   const result<unsigned> status = co_await connection->Start(call, aLimit);
   if (!status) {
-    mPool.NoteEnd(aEngine, status.error());
+    mPool.DropIfTimedOut(aEngine, status.error());
     co_return status.error();
   }
   if (const std::error_code error = ErrorOf(status.value())) {
--- a/src/runners/engine_client.h
+++ b/src/runners/engine_client.h
@@ -118,7 +118,7 @@
   /** Keeps a connection whose stream was read to its end. */
   void Give(const endpoint& aEngine, http_connection_ptr aConnection)
   {
-    mPool.Give(aEngine, std::move(aConnection));
+    mPool.Release(aEngine, std::move(aConnection));
   }
 
 private:
--- a/src/runners/upstream_connection.cpp
+++ b/src/runners/upstream_connection.cpp
@@ -89,7 +89,7 @@
 upstream_connection::ReadSome(std::string& aOut, duration aLimit)
 {
   result<bool> more =
-    co_await ReadPiece<kReadBytes>(mStream, mLimit, mBuffer, *mParser, aOut, aLimit);
+    co_await ReadSomeBody<kReadBytes>(mStream, mLimit, mBuffer, *mParser, aOut, aLimit);
   mWhole = more && !more.value();
   co_return more;
 }
--- a/src/runners/upstream_connection.h
+++ b/src/runners/upstream_connection.h
@@ -22,7 +22,7 @@
 class upstream_connection : public std::enable_shared_from_this<upstream_connection>
 {
 public:
-  using response_parser = piece_parser;
+  using response_parser = body_parser;
 
   /** @return the connection, or eConnectFailed, after which nothing was sent. */
   static asio::awaitable<result<std::shared_ptr<upstream_connection>>> Connect(const endpoint& aTo,
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -169,8 +169,8 @@
   aReader.Address("callers.listen", aSettings.mCallers);
   aReader.Number("callers.header_bytes", aSettings.mCallerLimits.mHeaderBytes, 256, 1 << 20);
   aReader.Number("callers.body_bytes", aSettings.mCallerLimits.mBodyBytes, 1, 1 << 30);
-  aReader.Milliseconds("callers.read_ms", aSettings.mCallerLimits.mReadTime, 1, 3'600'000);
-  aReader.Milliseconds("callers.write_ms", aSettings.mCallerLimits.mWriteTime, 1, 3'600'000);
+  aReader.Milliseconds("callers.read_ms", aSettings.mCallerLimits.mReadTimeout, 1, 3'600'000);
+  aReader.Milliseconds("callers.write_ms", aSettings.mCallerLimits.mWriteTimeout, 1, 3'600'000);
   aReader.Number("callers.connections", aSettings.mCallerLimits.mConnections, 1, 1'000'000);
   aReader.Address("operators.listen", aSettings.mOperators);
   aReader.Text("operators.token_file", aSettings.mOperatorTokenFile);
--- a/standins/caller.cpp
+++ b/standins/caller.cpp
@@ -87,7 +87,7 @@
     { "max_tokens", tokens },
     { "stream", true }
   }.dump();
-  const auto connection = co_await aPool.Take(aDaemon, kLimit);
+  const auto connection = co_await aPool.Acquire(aDaemon, kLimit);
   const result<unsigned> status = connection ? co_await connection.value()->Start(call, kLimit)
                                              : result<unsigned>(connection.error());
   if (!status || status.value() != 200) {
@@ -110,7 +110,7 @@
     TakeEvents(buffer, text, done, aTally.mTokens);
     more = read && read.value();
   }
-  aPool.Give(aDaemon, connection.value());
+  aPool.Release(aDaemon, connection.value());
   if (!done) {
     ++aTally.mFailed;
   } else if (text != AnswerText(prompt, tokens)) {
--- a/standins/common/standin.h
+++ b/standins/common/standin.h
@@ -27,7 +27,7 @@
   const result<endpoint> at = ParseEndpoint(aListen);
   http_limits limits;
   limits.mBodyBytes = std::uint64_t{ 64 } << 20U;
-  limits.mReadTime = std::chrono::hours(1);
+  limits.mReadTimeout = std::chrono::hours(1);
   if (!at) {
     std::cerr << "bad address " << aListen << "\n";
     std::exit(2);
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -440,7 +440,7 @@
       }
       const auto held = mSlots.find(attempt);
       if (held == mSlots.end() || held->second.mRun != run) {
-        aExchange->Tear();
+        aExchange->Abort();
         co_return;
       }
       const json event{ { "a", echo }, { "i", index }, { "t", TokenText(textHash, index) } };
@@ -449,7 +449,7 @@
       if (cutAfter > 0 && static_cast<int>(index - start) >= cutAfter) {
         mFaults["cut_after_tokens"] = 0;
         co_await aExchange->Write(events);
-        aExchange->Tear();
+        aExchange->Abort();
         co_return;
       }
       if (paced || index % kBurst == 0) {
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -87,7 +87,7 @@
       co_await Sleep(std::chrono::milliseconds(Fault("log_slow_ms")));
     }
     if (Fault("log_down") != 0) {
-      aExchange->Tear();
+      aExchange->Abort();
       co_return true;
     }
     co_return false;
@@ -113,7 +113,7 @@
     Trim();
     mNews.Notify();
     if (TakeFault("lose_answers")) {
-      aExchange->Tear();
+      aExchange->Abort();
       co_return;
     }
     const json body{ { "offset", offset } };
--- a/standins/service.cpp
+++ b/standins/service.cpp
@@ -37,7 +37,7 @@
       co_return;
     }
     if (TakeFault("cut_before")) {
-      aExchange->Tear();
+      aExchange->Abort();
       co_return;
     }
     if (mFaults.value("delay_ms", 0) > 0) {
@@ -47,7 +47,7 @@
     ++mRuns[record];
     ++mTotal;
     if (TakeFault("cut_after")) {
-      aExchange->Tear();
+      aExchange->Abort();
       co_return;
     }
     const json body{ { "record", record }, { "runs", mRuns[record] } };
--- a/tests/unit/http_pool_test.cpp
+++ b/tests/unit/http_pool_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int kKept = 4;
+constexpr int kIdleConnections = 4;
 
 /** Stand-in for a server whose open connections can be made silent, as by a cut of the path that no
  * side is told of. */
@@ -29,7 +29,7 @@
 
   endpoint Address() const { return AddressOf(mAcceptor); }
   /** Lets every connection that is open now stay without answers. */
-  void SilenceOpen() { mFirstAnswered = mConnections; }
+  void StopAnsweringOpenConnections() { mFirstAnswered = mConnections; }
 
   int mConnections = 0; ///< Connections taken.
 
@@ -83,22 +83,22 @@
 
 TEST_GROUP(kept_connections){};
 
-TEST(kept_connections, OneDeadlineTellsOfAllThatFellSilent)
+TEST(kept_connections, ATimeoutOnOneIdleConnectionDropsAllOfItsEndpoint)
 {
   asio::io_context io(1);
   silent_server server(io);
   http_pool pool;
   int answered = 0;
   int failed = 0;
-  for (int number = 0; number < kKept; ++number) {
+  for (int number = 0; number < kIdleConnections; ++number) {
     Spawn(io, CallOnce(pool, server.Address(), answered, failed));
   }
   io.run_for(150ms);
-  LONGS_EQUAL(kKept, answered);
-  LONGS_EQUAL(kKept, server.mConnections);
-  server.SilenceOpen();
+  LONGS_EQUAL(kIdleConnections, answered);
+  LONGS_EQUAL(kIdleConnections, server.mConnections);
+  server.StopAnsweringOpenConnections();
   answered = 0;
-  while (answered == 0 && failed <= kKept) {
+  while (answered == 0 && failed <= kIdleConnections) {
     const int before = failed;
     Spawn(io, CallOnce(pool, server.Address(), answered, failed));
     const auto ended = [&] { return answered != 0 || failed != before; };
@@ -106,8 +106,8 @@
       io.run_for(10ms);
     }
   }
-  UT_PRINT(
-    StringFromFormat("of %d kept connections that fell silent, %d cost a deadline", kKept, failed));
+  UT_PRINT(StringFromFormat(
+    "of %d kept connections that fell silent, %d cost a deadline", kIdleConnections, failed));
   LONGS_EQUAL(1, failed);
   LONGS_EQUAL(1, answered);
 }
