--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -1,6 +1,6 @@
 /**
  * @file http_client.cpp
- * The HTTP client.
+ * HTTP client connections and the pool of idle ones.
  */
 #include "net/http_client.h"
 
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,7 +1,8 @@
 /**
  * @file http_client.h
- * HTTP/1.1 client over Beast with kept-alive connections. It tells whether any byte of a request
- * can have left this process, which is what "not run" rests on.
+ * HTTP/1.1 client over Beast with keep-alive connections. Connecting and sending are separate
+ * steps, so a caller knows whether a byte of a request can have left this process; the outcome
+ * not-run depends on that.
  */
 #pragma once
 
@@ -23,11 +24,11 @@
 {
   http::verb mMethod = http::verb::get; ///< Method.
   std::string mTarget = "/";            ///< Path and query.
-  header_list mHeaders;                 ///< Extra headers.
+  header_list mHeaders;                 ///< Additional headers.
   std::string mBody;                    ///< Body, JSON unless a header says otherwise.
 };
 
-/** A whole answer. */
+/** A complete answer. */
 struct http_answer
 {
   unsigned mStatus = 0; ///< Status code.
@@ -43,7 +44,7 @@
 {
 public:
   /**
-   * @param aTo where to connect.
+   * @param aTo address of the server.
    * @param aLimit time limit of the connect.
    * @return the connection, or eConnectFailed.
    */
@@ -57,69 +58,69 @@
   }
 
   /**
-   * Sends a request and reads the head of the answer.
+   * Sends a request and reads the header section of the answer.
    * @return the status, or eConnectionLost or eDeadlinePassed.
-   * @pre no answer is under way on this connection.
+   * @pre no answer is being read on this connection.
    */
   asio::awaitable<result<unsigned>> Start(const http_call& aCall, duration aLimit);
 
   /**
    * Reads some of the answer's body.
    * @param aOut text that the bytes are appended to.
-   * @return whether the body goes on.
+   * @return whether more of the body follows.
    * @pre Start() succeeded.
    */
   asio::awaitable<result<bool>> ReadSome(std::string& aOut, duration aLimit);
 
-  /** Sends a request and reads the whole answer. */
+  /** Sends a request and reads the complete answer. @param aLimit applies to each step. */
   asio::awaitable<result<http_answer>> Call(const http_call& aCall, duration aLimit);
 
-  /** Ends the connection at once; a waiting operation fails. */
+  /** Closes the connection immediately; a pending operation fails. */
   void Abort();
 
   /** @return whether the connection can carry another request. */
   bool Reusable() const { return mReusable; }
-  /** @return whether the server has closed the idle connection or sent unasked bytes. */
+  /** @return whether the server has closed the idle connection or sent unexpected bytes. */
   bool Stale();
-  /** @return a header of the answer whose head was read. */
+  /** @return a header of the current answer. @pre Start() succeeded. */
   std::string Header(std::string_view aName) const;
 
 private:
   using response_parser = body_parser;
 
   beast::tcp_stream mStream;              ///< The socket.
-  stream_limit mLimit;                    ///< Time for what is under way.
-  beast::flat_buffer mBuffer;             ///< Bytes read and not parsed yet.
-  std::optional<response_parser> mParser; ///< The answer under way.
-  bool mReusable = false;                 ///< True only between two whole answers.
+  stream_limit mLimit;                    ///< Time limit of the current operation.
+  beast::flat_buffer mBuffer;             ///< Bytes read but not parsed yet.
+  std::optional<response_parser> mParser; ///< Parser of the current answer.
+  bool mReusable = false;                 ///< True only between two complete answers.
 };
 
 using http_connection_ptr = std::shared_ptr<http_connection>;
 
-/** Idle connections by endpoint. */
+/** A pool of idle connections by endpoint. */
 class http_pool
 {
 public:
-  /** @return a kept or fresh connection. */
+  /** @return an idle connection, or a new one. */
   asio::awaitable<result<http_connection_ptr>> Acquire(const endpoint& aTo, duration aLimit);
-  /** Drops the kept connections to @p aTo, for after a failure: all may have fallen silent. */
+  /** Drops the idle connections to @p aTo after a failure, since all may be unresponsive. */
   void Drop(const endpoint& aTo) { mIdle.erase(aTo); }
-  /** Keeps @p aConnection for later if it can carry another request. */
+  /** Returns @p aConnection to the pool if it can carry another request. */
   void Release(const endpoint& aTo, http_connection_ptr aConnection);
-  /** Drops the kept connections to @p aTo if a call there ended by its time limit. */
+  /** Drops the idle connections to @p aTo if @p aError is a timeout. */
   void DropIfTimedOut(const endpoint& aTo, const std::error_code& aError);
   /**
-   * Sends a request that may be repeated: a stale kept connection is replaced once. After a call
-   * that ended by its time limit the next one has a fresh connection: kept ones may all have
-   * fallen silent.
+   * Sends a request that may be repeated: if the connection is lost, the request is sent once more
+   * on a new one. After a timeout the idle connections are dropped, since all may be unresponsive.
    */
   asio::awaitable<result<http_answer>> Call(const endpoint& aTo,
                                             const http_call& aCall,
                                             duration aLimit);
 
 private:
-  static constexpr std::size_t kMaxIdlePerEndpoint = 64; ///< Connections kept for one endpoint.
-  std::unordered_map<endpoint, std::deque<http_connection_ptr>> mIdle; ///< Newest at the back.
+  static constexpr std::size_t kMaxIdlePerEndpoint = 64; ///< Idle connections kept.
+  std::unordered_map<endpoint, std::deque<http_connection_ptr>>
+    mIdle; ///< Most recently used at the back.
 };
 
 } // namespace dunehook
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -1,6 +1,6 @@
 /**
  * @file http_server.cpp
- * The HTTP server.
+ * HTTP server sessions, and the detection of callers that disconnect.
  */
 #include "net/http_server.h"
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/** @return whether the peer has closed its side, seen without taking bytes. */
+/** @return whether the peer has closed its side. Consumes no bytes. */
 bool
 PeerClosed(tcp::socket& aSocket)
 {
@@ -22,7 +22,7 @@
   return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
-/** @return whether the bytes read weren't a request, as opposed to none or too few. */
+/** @return whether the bytes read aren't valid HTTP, as opposed to missing or incomplete. */
 bool
 IsMalformed(const boost::system::error_code& aError)
 {
@@ -31,10 +31,10 @@
          aError != http::error::partial_message;
 }
 
-/** Watches a session's socket while a handler runs. */
+/** State shared with the task that watches a session's socket while a handler runs. */
 struct close_watch
 {
-  std::weak_ptr<http_exchange> mExchange; ///< The exchange under way.
+  std::weak_ptr<http_exchange> mExchange; ///< The current exchange.
   bool mHandlerDone = false;              ///< The handler has returned.
 };
 
@@ -48,7 +48,7 @@
     co_return;
   }
   if (!error && !PeerClosed(aStream.socket())) {
-    co_return; // A pipelined request: the close, if any, shows at the next write.
+    co_return; // A pipelined request; a later close is noticed at the next write.
   }
   if (const auto exchange = aWatch->mExchange.lock()) {
     exchange->HandleCallerGone();
@@ -217,7 +217,7 @@
       continue;
     }
     if (mOpenConnections >= mLimits.mConnections) {
-      continue; // The socket closes here: the balancer tries another host.
+      continue; // Closes the socket, so the load balancer tries another host.
     }
     socket.set_option(tcp::no_delay(true), error);
     Spawn(mIo, Serve(std::move(socket)));
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,7 +1,7 @@
 /**
  * @file http_server.h
- * HTTP/1.1 server over Beast: keep-alive, limits on header, body, time and connections, whole and
- * streamed answers, and notice of a caller that closes its connection.
+ * HTTP/1.1 server over Beast: keep-alive, limits on header, body, time and connections, complete
+ * and streamed answers, and notification when a caller closes its connection.
  */
 #pragma once
 
@@ -17,11 +17,11 @@
 /** Limits of a listener. */
 struct http_limits
 {
-  std::uint32_t mHeaderBytes = 16384;                   ///< Largest request head.
-  std::uint64_t mBodyBytes = std::uint64_t{ 1 } << 20U; ///< Largest request body.
-  duration mReadTimeout = std::chrono::seconds(30); ///< Longest read of one request, and idle time.
+  std::uint32_t mHeaderBytes = 16384;                   ///< Maximum size of the request headers.
+  std::uint64_t mBodyBytes = std::uint64_t{ 1 } << 20U; ///< Maximum size of the request body.
+  duration mReadTimeout = std::chrono::seconds(30);  ///< Longest read of a request, or idle time.
   duration mWriteTimeout = std::chrono::seconds(10); ///< Longest wait for the peer to take bytes.
-  std::size_t mConnections = 4096;                   ///< Most connections at once.
+  std::size_t mConnections = 4096;                   ///< Maximum number of open connections.
 
   auto operator<=>(const http_limits&) const = default;
 };
@@ -48,20 +48,20 @@
   std::string Header(std::string_view aName) const { return std::string(mRequest[aName]); }
   const std::string& Body() const { return mRequest.body(); }
 
-  /** Sends a whole answer. @param aType the body's media type. */
+  /** Sends a complete answer. @param aType the body's media type. */
   asio::awaitable<void> Respond(unsigned aStatus,
                                 std::string aBody,
                                 const header_list& aHeaders = {},
                                 std::string_view aType = "application/json");
-  /** Sends the head of a chunked answer. */
+  /** Sends the headers of a chunked answer. @return whether they were written. */
   asio::awaitable<bool> StartStream(unsigned aStatus,
                                     const header_list& aHeaders,
                                     std::string_view aType = "text/event-stream");
-  /** Sends a piece of a chunked answer. @return whether the peer still takes bytes. */
+  /** Sends a chunk of a chunked answer. @return whether it was written. */
   asio::awaitable<bool> Write(std::string_view aBytes);
   /** Ends a chunked answer. */
   asio::awaitable<void> EndStream();
-  /** Ends the connection in place of a whole answer, so that the peer sees a torn one. */
+  /** Closes the connection before the answer is complete, so that the peer sees it truncated. */
   void Abort();
 
   /** @param aCallback called once when the caller closes its connection before the answer ends. */
@@ -71,7 +71,7 @@
   bool Answered() const { return mAnswered; }
   bool KeepAlive() const { return mRequest.keep_alive() && !mAborted; }
 
-  /** For the listener: notes that the peer closed, and calls back. */
+  /** For the listener: records that the peer closed, and runs the OnCallerGone() callback. */
   void HandleCallerGone();
 
 private:
@@ -81,21 +81,21 @@
   http::request<http::string_body> mRequest; ///< The request.
   duration mWriteTimeout;                    ///< Longest wait for the peer to take bytes.
   std::function<void()> mOnCallerGone;       ///< Called at most once.
-  bool mCallerGone = false;                  ///< The peer closed or can't be written to.
-  bool mStreaming = false;                   ///< Head of a chunked answer sent.
-  bool mAnswered = false;                    ///< The answer is whole.
-  bool mAborted = false;                     ///< Ended by Abort().
+  bool mCallerGone = false;                  ///< The peer closed, or a write failed.
+  bool mStreaming = false;                   ///< The headers of a chunked answer were sent.
+  bool mAnswered = false;                    ///< The answer was sent completely.
+  bool mAborted = false;                     ///< Closed by Abort().
 };
 
 using exchange_ptr = std::shared_ptr<http_exchange>;
 using http_handler = std::function<asio::awaitable<void>(exchange_ptr)>;
 
-/** A listening socket that serves a handler. */
+/** Accepts connections and calls a handler for each request. */
 class http_listener
 {
 public:
   /**
-   * @param aAt where to listen; port 0 lets the kernel choose.
+   * @param aAt address to listen on; port 0 lets the kernel choose.
    * @return the listener, or eConnectFailed.
    */
   static result<std::unique_ptr<http_listener>> Open(asio::io_context& aIo,
@@ -116,7 +116,7 @@
 
   /** @return the address and port in use. */
   endpoint Address() const;
-  /** Takes no further connections; those there are served on. */
+  /** Accepts no further connections; open ones are still served. */
   void StopAccepting();
   std::size_t Connections() const { return mOpenConnections; }
 
@@ -125,14 +125,14 @@
   asio::awaitable<void> Serve(tcp::socket aSocket);
   asio::awaitable<bool> ServeOne(beast::tcp_stream& aStream, beast::flat_buffer& aBuffer);
 
-  asio::io_context& mIo;            ///< Runs every session.
+  asio::io_context& mIo;            ///< Event loop of the sessions.
   tcp::acceptor mAcceptor;          ///< The listening socket.
   http_limits mLimits;              ///< Limits of each session.
   http_handler mHandler;            ///< Called for each request.
   std::size_t mOpenConnections = 0; ///< Sessions; at most mLimits.mConnections are served.
 };
 
-/** @return a JSON error body with a stable code. @param aDetail what a person needs to know. */
+/** @return a JSON error body with a stable code. @param aDetail explanation for a person. */
 std::string
 ErrorBody(std::string_view aCode, std::string_view aDetail);
 
--- a/src/net/net.cpp
+++ b/src/net/net.cpp
@@ -1,6 +1,6 @@
 /**
  * @file net.cpp
- * Endpoints, sleeping, spawning and waking of coroutines.
+ * Endpoints, sockets, and helpers that start, suspend and wake coroutines.
  */
 #include "net/net_type.h"
 
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr int kListenBacklog = 1024; ///< Connections that wait to be accepted.
+constexpr int kListenBacklog = 1024; ///< Maximum number of connections not accepted yet.
 
-/** Writes a line on an exception that a task has ended with. */
+/** Logs the exception that ended a task. */
 void
 LogFailure(std::string_view aEvent, const std::exception_ptr& aError)
 {
@@ -108,7 +108,7 @@
 void
 SendUdp(asio::ip::udp::socket& aSocket, const std::string& aData, const endpoint& aTo)
 {
-  boost::system::error_code ignored; // A datagram that isn't sent is one that is lost.
+  boost::system::error_code ignored; // An unsent datagram is treated like a lost one.
   const asio::ip::udp::endpoint target(asio::ip::make_address(aTo.mAddress, ignored), aTo.mPort);
   aSocket.send_to(asio::buffer(aData), target, 0, ignored);
 }
@@ -146,7 +146,7 @@
     if (error == asio::error::operation_aborted) {
       co_return;
     }
-    if (!error) { // Else an earlier datagram couldn't be delivered; silence shows it.
+    if (!error) { // Errors report an undelivered earlier datagram; callers detect that by timeout.
       aHandler({ data.data(), got }, from);
     }
   }
--- a/src/net/net_type.h
+++ b/src/net/net_type.h
@@ -33,14 +33,14 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 using tcp = asio::ip::tcp;
-/** A timer whose time goes on while the machine is suspended. The process is woken late for it, by
- * the next wake-up of any other cause. */
+/** A timer whose clock keeps running while the machine is suspended. An expiry during suspension is
+ * handled late: when the process next wakes for another reason. */
 using boot_timer = asio::basic_waitable_timer<boot_clock>;
 
-/** Where a process listens: an IP number, never a name. */
+/** Address of a listening process: an IP address, never a host name. */
 struct endpoint
 {
-  std::string mAddress;    ///< IPv4 or IPv6 number.
+  std::string mAddress;    ///< IPv4 or IPv6 address.
   std::uint16_t mPort = 0; ///< TCP or UDP port.
 
   auto operator<=>(const endpoint&) const = default;
@@ -57,34 +57,33 @@
 result<endpoint>
 ParseEndpoint(std::string_view aText);
 
-/** @return a listening socket; port 0 lets the kernel choose. eConnectFailed if it can't be had. */
+/** @return a listening socket, or eConnectFailed; port 0 lets the kernel choose. */
 result<tcp::acceptor>
 OpenAcceptor(asio::io_context& aIo, const endpoint& aAt);
 
-/** @return the address and port that a listening socket has. */
+/** @return the local address and port of a listening socket. */
 endpoint
 AddressOf(const tcp::acceptor& aAcceptor);
 
-/** Opens a socket for datagrams at an address. @return eConnectFailed if it can't be had. */
+/** Opens a datagram socket and binds it to an address. @return eConnectFailed on failure. */
 result<void>
 OpenUdp(asio::ip::udp::socket& aSocket, const endpoint& aAt);
 
-/** Sends a datagram; nobody learns whether it arrives, or was sent at all. */
+/** Sends a datagram; errors are ignored, and delivery isn't confirmed. */
 void
 SendUdp(asio::ip::udp::socket& aSocket, const std::string& aData, const endpoint& aTo);
 
-/** Takes a datagram; the second argument is where it came from. */
+/** Handles a datagram; the second argument is its sender. */
 using datagram_handler = std::function<void(std::string_view, const asio::ip::udp::endpoint&)>;
 
-/** @return an endpoint of Asio's in our form. */
+/** @return the endpoint for an Asio UDP endpoint. */
 inline endpoint
 EndpointOf(const asio::ip::udp::endpoint& aEndpoint)
 {
   return { aEndpoint.address().to_string(), aEndpoint.port() };
 }
 
-/** Hands on all datagrams that come to a socket until it's closed. @param aMaxBytes bytes of one.
- */
+/** Passes received datagrams to a handler until the socket closes. @param aMaxBytes size limit. */
 asio::awaitable<void>
 ReceiveDatagrams(asio::ip::udp::socket& aSocket, std::size_t aMaxBytes, datagram_handler aHandler);
 
@@ -92,11 +91,11 @@
 asio::awaitable<void>
 Sleep(duration aSpan);
 
-/** Starts a coroutine that nobody waits for; an exception that leaves it ends the process. */
+/** Starts a detached coroutine; an uncaught exception is logged and aborts the process. */
 void
 Spawn(asio::io_context& aIo, asio::awaitable<void> aTask);
 
-/** Starts a coroutine that nobody waits for; an exception that leaves it is logged and ends it. */
+/** Starts a detached coroutine; an uncaught exception is logged and ends only the coroutine. */
 void
 SpawnGuarded(asio::io_context& aIo, asio::awaitable<void> aTask);
 
--- a/src/net/stream_limit.cpp
+++ b/src/net/stream_limit.cpp
@@ -1,6 +1,6 @@
 /**
  * @file stream_limit.cpp
- * Time limits of streams.
+ * Connecting with a time limit, and time limits of streams.
  */
 #include "net/stream_limit.h"
 
@@ -18,11 +18,11 @@
   stream.expires_after(aLimit);
   const tcp::endpoint target(address, aTo.mPort);
   co_await stream.async_connect(target, asio::redirect_error(asio::use_awaitable, error));
-  stream.expires_never(); // From here on stream_limit holds.
+  stream.expires_never(); // From here on a stream_limit sets the time limits.
   if (error) {
     co_return make_error_code(errc::eConnectFailed);
   }
-  boost::system::error_code ignored; // Without it small writes only wait longer.
+  boost::system::error_code ignored; // If this fails, small writes are only delayed.
   stream.socket().set_option(tcp::no_delay(true), ignored);
   co_return std::move(stream);
 }
--- a/src/net/stream_limit.h
+++ b/src/net/stream_limit.h
@@ -1,7 +1,7 @@
 /**
  * @file stream_limit.h
- * A time limit for what is under way on a stream. Beast's own limits stand still while the machine
- * is suspended: what waits for an answer would wait longer than its caller does.
+ * Time limits of operations on a stream. Beast's own timeouts stop counting while the machine is
+ * suspended, so an operation would wait for an answer longer than its caller does.
  */
 #pragma once
 
@@ -11,11 +11,11 @@
 
 namespace dunehook {
 
-/** Connects within a time. @return a stream without a limit, or eConnectFailed. */
+/** Connects within a time limit. @return a stream without a limit, or eConnectFailed. */
 asio::awaitable<result<beast::tcp_stream>>
 ConnectStream(endpoint aTo, duration aLimit);
 
-/** The limit of one stream, which must outlive it. Closes the stream once the time is over. */
+/** The time limit of one stream, which must outlive it. Closes the stream when it expires. */
 class stream_limit
 {
 public:
@@ -24,9 +24,9 @@
   stream_limit(const stream_limit&) = delete;
   stream_limit& operator=(const stream_limit&) = delete;
 
-  /** Sets the time for what is begun next, in place of the former one. */
+  /** Sets the limit of the next operation; replaces a former limit. */
   void Set(duration aLimit);
-  /** Takes the limit away. */
+  /** Removes the limit. */
   void Clear();
   /** @return why an operation on the stream failed: eDeadlinePassed or eConnectionLost. */
   std::error_code Cause() const
@@ -35,7 +35,7 @@
   }
 
 private:
-  /** Shared with the timer's handlers, which may run after the limit's end. */
+  /** Shared with the timer's handlers, which may run after the stream_limit is destroyed. */
   struct limit_state
   {
     limit_state(beast::tcp_stream& aStream)
@@ -44,25 +44,25 @@
     {
     }
 
-    beast::tcp_stream* mStream;    ///< Null once the limit has ended.
-    boot_timer mTimer;             ///< Runs while there's a limit.
-    std::uint64_t mGeneration = 0; ///< Counts changes: a handler of a former limit does nothing.
-    bool mExpired = false;         ///< The stream was closed.
+    beast::tcp_stream* mStream;    ///< Null after the stream_limit is destroyed.
+    boot_timer mTimer;             ///< Runs while a limit is set.
+    std::uint64_t mGeneration = 0; ///< Counts changes; handlers of former limits do nothing.
+    bool mExpired = false;         ///< The limit expired and closed the stream.
   };
 
   std::shared_ptr<limit_state> mState; ///< Never null.
 };
 
-/** Reads answers piece by piece. */
+/** Parses an answer whose body is read in parts. */
 using body_parser = http::response_parser<http::buffer_body>;
 
 /**
  * Reads some of an answer's body.
- * @tparam Most bytes read at once; they're held while the read waits.
+ * @tparam Most size of the read buffer in bytes; it's held while the read waits.
  * @param aOut text that the bytes are appended to.
- * @param aTime longest wait for the next bytes.
- * @return whether the body goes on, or why the stream ended.
- * @pre the parser has the head.
+ * @param aTime time limit of the read.
+ * @return whether more of the body follows, or why the stream ended.
+ * @pre the parser has read the headers.
  */
 template<std::size_t Most>
 asio::awaitable<result<bool>>
--- a/tests/unit/http_pool_test.cpp
+++ b/tests/unit/http_pool_test.cpp
@@ -1,6 +1,7 @@
 /**
  * @file http_pool_test.cpp
- * Kept connections: of those that have fallen silent, one deadline is spent in all, not one each.
+ * If all idle connections of an endpoint are unresponsive, only one call may time out, not one per
+ * connection.
  */
 #include "net/http_client.h"
 
@@ -15,8 +16,8 @@
 
 constexpr int kIdleConnections = 4;
 
-/** Stand-in for a server whose open connections can be made silent, as by a cut of the path that no
- * side is told of. */
+/** A server that can stop answering on its open connections, as after a network failure that
+ * neither side is notified of. */
 class silent_server
 {
 public:
@@ -28,10 +29,10 @@
   }
 
   endpoint Address() const { return AddressOf(mAcceptor); }
-  /** Lets every connection that is open now stay without answers. */
+  /** Sends no more answers on the connections that are open now. */
   void StopAnsweringOpenConnections() { mFirstAnswered = mConnections; }
 
-  int mConnections = 0; ///< Connections taken.
+  int mConnections = 0; ///< Connections accepted.
 
 private:
   asio::awaitable<void> AcceptLoop()
@@ -57,7 +58,7 @@
         co_return;
       }
       buffer.erase(0, length);
-      co_await Sleep(20ms); // Calls made at once are on connections of their own.
+      co_await Sleep(20ms); // The delay makes concurrent calls use separate connections.
       if (aNumber < mFirstAnswered) {
         continue;
       }
@@ -66,9 +67,9 @@
     }
   }
 
-  asio::io_context& mIo;   ///< Runs the sessions.
+  asio::io_context& mIo;   ///< Event loop of the sessions.
   tcp::acceptor mAcceptor; ///< The listening socket.
-  int mFirstAnswered = 0;  ///< Number of the first connection that is answered.
+  int mFirstAnswered = 0;  ///< Number of the first connection that gets answers.
 };
 
 asio::awaitable<void>
