--- a/src/callers/completion_steps.cpp
+++ b/src/callers/completion_steps.cpp
@@ -1,7 +1,7 @@
 /**
  * @file completion_steps.cpp
- * The steps of a completions call at the engines: prefill, transfer in pieces, decode, and the
- * tokens on their way to the caller.
+ * The engine calls of a completions call (prefill, transfer in chunks, decode) and the streaming of
+ * tokens to the caller.
  */
 #include "callers/completion_session.h"
 
@@ -12,8 +12,9 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kEngineLimit = 20s; ///< Longest prefill or piece of a transfer.
-constexpr duration kTokenLimit = 5s;   ///< Longest silence of a token stream.
+constexpr duration kEngineCallTimeout =
+  20s;                                 ///< Time limit of a prefill or of one chunk's transfer.
+constexpr duration kTokenTimeout = 5s; ///< Longest time without data on a token stream.
 
 } // namespace
 
@@ -22,12 +23,12 @@
 {
   const attempt_entry* const entry = mFrontend.mAttempts.Find(mAttempt);
   if (entry->mStage == request_stage::ePrefilling && mPrefill.mId == aOrder.mEngine) {
-    return; // The order came twice.
+    return; // A duplicate of the order.
   }
   FreeEngine(mPrefill);
   FreeEngine(mDecode);
   mPrefill = { aOrder.mEngine, aAddress };
-  mTouchedRunner = true;
+  mMayHaveReachedRunner = true;
   SetStage(request_stage::ePrefilling);
   Spawn(mFrontend.mIo, RunPrefill(aOrder, aAddress));
 }
@@ -38,13 +39,13 @@
   const auto self = shared_from_this();
   const prefill_call call{ mAttempt, mRequest.mPrompt, mText, aOrder.mPriority };
   const result<prefill_answer> answer =
-    co_await mFrontend.mEngines.Prefill(aAddress, call, kEngineLimit, mConnection);
+    co_await mFrontend.mEngines.Prefill(aAddress, call, kEngineCallTimeout, mConnection);
   mConnection.reset();
   Post(prefill_ended{ aOrder.mEngine, answer });
 }
 
 asio::awaitable<void>
-completion_session::Take(prefill_ended aMessage)
+completion_session::Handle(prefill_ended aMessage)
 {
   if (aMessage.mEngine != mPrefill.mId) {
     co_return;
@@ -65,7 +66,7 @@
 completion_session::BeginChunk(const start_chunk& aOrder, const endpoint& aAddress)
 {
   if (mDecode.mId != aOrder.mEngine) {
-    FreeEngine(mDecode); // An earlier owner had chosen another engine.
+    FreeEngine(mDecode); // A former owner had chosen another engine.
   }
   mDecode = { aOrder.mEngine, aAddress };
   SetStage(request_stage::eTransferring);
@@ -77,12 +78,13 @@
 {
   const auto self = shared_from_this();
   const import_call call{ mAttempt, aFrom, aOrder.mOffset, aOrder.mBytes, mKvBytes };
-  const result<void> answer = co_await mFrontend.mEngines.Import(aAddress, call, kEngineLimit);
+  const result<void> answer =
+    co_await mFrontend.mEngines.Import(aAddress, call, kEngineCallTimeout);
   Post(chunk_ended{ aOrder.mEngine, aOrder.mLast, answer });
 }
 
 asio::awaitable<void>
-completion_session::Take(chunk_ended aMessage)
+completion_session::Handle(chunk_ended aMessage)
 {
   if (aMessage.mEngine != mDecode.mId) {
     co_return;
@@ -112,7 +114,7 @@
   const engine_id engine = mDecode.mId;
   const decode_call call{ mAttempt, mNextIndex, mRequest.mMaxTokens };
   const result<http_connection_ptr> connection =
-    co_await mFrontend.mEngines.Decode(mDecode.mAddress, call, kTokenLimit);
+    co_await mFrontend.mEngines.Decode(mDecode.mAddress, call, kTokenTimeout);
   result<void> read = boost::outcome_v2::success();
   if (connection) {
     mConnection = connection.value();
@@ -122,7 +124,7 @@
     read = connection.error();
   }
   if (mExchange->CallerGone()) {
-    co_return; // The message that says so is in the inbox.
+    co_return; // A caller_left message is pending.
   }
   if (read) {
     mFrontend.mEngines.Give(mDecode.mAddress, connection.value());
@@ -146,7 +148,7 @@
   bool more = true;
   while (more) {
     std::string bytes;
-    const result<bool> read = co_await aConnection->ReadSome(bytes, kTokenLimit);
+    const result<bool> read = co_await aConnection->ReadSome(bytes, kTokenTimeout);
     std::vector<token> tokens;
     const result<void> parsed = parser.Take(bytes, tokens);
     if (!parsed) {
@@ -170,8 +172,8 @@
 std::string
 completion_session::TokenEvent(const token& aToken) const
 {
-  // Put together from parts: a tree of JSON for each token costs most of a stream's processor time.
-  std::string event = mEventHead;
+  // Concatenated, since building a JSON tree per token takes most of a stream's processor time.
+  std::string event = mEventPrefix;
   event += std::to_string(aToken.mIndex);
   event += R"(,"choices":[{"index":0,"finish_reason":null,"text":)";
   event += json(aToken.mText).dump(-1, ' ', false, json::error_handler_t::replace);
@@ -185,7 +187,7 @@
   std::string events;
   for (const token& one : aTokens) {
     if (one.mIndex != mNextIndex) {
-      continue; // Written before, by an earlier attempt.
+      continue; // Already written from an earlier decode.
     }
     if (mNextIndex == 0) {
       mFrontend.mMetrics.ObserveFirstToken(mRoute.mClass, ToSeconds(Now() - mArrived));
@@ -230,7 +232,7 @@
       co_await mExchange->EndStream();
     }
   }
-  // The engine has freed the slot itself.
+  // The engine frees its slot at the end of a stream, so no cancel is needed.
   const stream_finished finished{ mAttempt, mNextIndex };
   co_await mFrontend.mOwners.Send(mCell, finished);
 }
--- a/src/callers/service_call.cpp
+++ b/src/callers/service_call.cpp
@@ -1,8 +1,8 @@
 /**
  * @file service_call.cpp
- * Calls of plain services. A call that may not be repeated is sent at most once, and its caller
- * is told exactly one of done, not-run and unknown. "not-run" is said only if no byte of the call
- * can have reached a runner and this daemon will never send it.
+ * Calls of plain services. A call that may not be repeated runs at most once, and its caller gets
+ * exactly one of the outcomes done, not-run and unknown. The outcome is not-run only if no byte of
+ * the call can have reached a runner, or the runner refused it, and this daemon will never send it.
  */
 #include "callers/frontend_base.h"
 
@@ -19,22 +19,22 @@
 using namespace std::chrono_literals;
 
 constexpr int kMaxTries = 3;
-constexpr duration kConnectLimit = 1s;
-constexpr duration kClaimLimit = 3s;     ///< Longest wait for a claim to show in the fold.
-constexpr duration kStatusLimit = 300ms; ///< Longest wait for the holder of a key.
-constexpr duration kKeyRetry = 1s;
-constexpr duration kNoRunnerRetry = 2s;
+constexpr duration kConnectTimeout = 1s;
+constexpr duration kClaimTimeout = 3s;          ///< Limit for a claim to appear in the log state.
+constexpr duration kClaimStatusTimeout = 300ms; ///< Time limit of asking the holder of a key.
+constexpr duration kKeyRetryAfter = 1s;
+constexpr duration kNoRunnerRetryAfter = 2s;
 constexpr std::string_view kRefusedHeader = "X-Runner-Refused";
 
-/** What one try at a runner gave. */
+/** The result of sending a call to one runner. */
 struct send_result
 {
-  bool mSent = false;                 ///< Some byte may have reached the runner.
+  bool mSent = false;                 ///< A byte of the call may have reached the runner.
   bool mRefused = false;              ///< The runner said that it did not run the call.
-  std::optional<http_answer> mAnswer; ///< The answer, if it came whole.
+  std::optional<http_answer> mAnswer; ///< The complete answer, if there was one.
 };
 
-/** One call of a service. */
+/** Serves one call of a plain service. */
 class service_call
 {
 public:
@@ -45,7 +45,7 @@
     : mFrontend(aFrontend)
     , mExchange(std::move(aExchange))
     , mRoute(aRoute)
-    , mName(std::move(aName))
+    , mRouteName(std::move(aName))
     , mAttempt(aFrontend.NextAttempt())
     , mDeadline(Now() + std::chrono::milliseconds(aRoute.mTimeoutMs))
   {
@@ -57,9 +57,9 @@
     if (mRoute.mRepeatable) {
       co_await SendRepeatable();
     } else if (key.empty()) {
-      co_await SendOnce("");
+      co_await SendAtMostOnce("");
     } else {
-      co_await SendClaimed(key);
+      co_await SendWithKey(key);
     }
   }
 
@@ -82,7 +82,7 @@
   }
 
   /** @return the next runner to try, or null. @param aTry counts the tries from 0. */
-  const host* Choose(std::size_t aTry)
+  const host* ChooseRunner(std::size_t aTry)
   {
     std::vector<const host*> hosts = mFrontend.mHosts.LiveOf(mRoute.mServicePool);
     std::erase_if(
@@ -94,25 +94,25 @@
     LogEvent(log_level::eInfo,
              "route",
              { { "request", ToText(mAttempt) },
-               { "route", mName },
+               { "route", mRouteName },
                { "candidates", hosts.size() },
                { "chosen", chosen->mName },
                { "reason", aTry == 0 ? "in turn" : "another runner failed" } });
     return chosen;
   }
 
-  /** Sends the call to one runner, on a fresh connection so that "not sent" is certain. */
+  /** Sends the call to one runner, on a new connection: if connecting fails, nothing was sent. */
   asio::awaitable<send_result> Send(host aHost)
   {
     send_result sent;
     const result<http_connection_ptr> connection =
-      co_await http_connection::Connect(aHost.mAddress, kConnectLimit);
+      co_await http_connection::Connect(aHost.mAddress, kConnectTimeout);
     if (!connection) {
       mFrontend.mAvoided.Avoid(aHost.mName, Now());
       co_return sent;
     }
     if (mExchange->CallerGone() || Now() >= mDeadline) {
-      mGivenUp = true; // A daemon that was frozen until now doesn't send.
+      mGivenUp = true; // A daemon resumed after the deadline must not send.
       co_return sent;
     }
     sent.mSent = true;
@@ -137,9 +137,9 @@
 
   asio::awaitable<void> SendRepeatable()
   {
-    bool maybeRun = false;
+    bool mayHaveRun = false;
     for (int tries = 0; tries < kMaxTries && Now() < mDeadline; ++tries) {
-      const host* const chosen = Choose(static_cast<std::size_t>(tries));
+      const host* const chosen = ChooseRunner(static_cast<std::size_t>(tries));
       if (chosen == nullptr) {
         break;
       }
@@ -151,27 +151,27 @@
       if (mGivenUp) {
         break;
       }
-      maybeRun = maybeRun || (sent.mSent && !sent.mRefused);
+      mayHaveRun = mayHaveRun || (sent.mSent && !sent.mRefused);
     }
-    co_await RespondFailed(maybeRun);
+    co_await RespondFailed(mayHaveRun);
   }
 
   /** Sends a call that may not be repeated. @param aKey its claimed key, or empty. */
-  asio::awaitable<void> SendOnce(std::string aKey)
+  asio::awaitable<void> SendAtMostOnce(std::string aKey)
   {
     for (int tries = 0; tries < kMaxTries && Now() < mDeadline; ++tries) {
-      const host* const chosen = Choose(static_cast<std::size_t>(tries));
+      const host* const chosen = ChooseRunner(static_cast<std::size_t>(tries));
       if (chosen == nullptr) {
         break;
       }
       const send_result sent = co_await Send(*chosen);
       if (sent.mAnswer) {
-        NoteState(aKey, keyed_state::eDone, *sent.mAnswer);
+        RecordState(aKey, keyed_state::eDone, *sent.mAnswer);
         co_await RespondDone(*sent.mAnswer);
         co_return;
       }
       if (sent.mSent && !sent.mRefused) {
-        NoteState(aKey, keyed_state::eUnknown, {});
+        RecordState(aKey, keyed_state::eUnknown, {});
         co_await RespondFailed(true);
         co_return;
       }
@@ -179,26 +179,26 @@
         break;
       }
     }
-    Abandon(aKey);
+    AbandonKey(aKey);
     co_await RespondFailed(false);
   }
 
-  void Abandon(const std::string& aKey)
+  void AbandonKey(const std::string& aKey)
   {
     if (!aKey.empty()) {
-      NoteState(aKey, keyed_state::eAbandoned, {});
+      RecordState(aKey, keyed_state::eAbandoned, {});
       mFrontend.mLog.Release(aKey, mAttempt);
     }
   }
 
-  void NoteState(const std::string& aKey, keyed_state aState, const http_answer& aAnswer)
+  void RecordState(const std::string& aKey, keyed_state aState, const http_answer& aAnswer)
   {
     if (!aKey.empty()) {
       mFrontend.mKeys.Calls().Set(aKey, { mAttempt, aState, aAnswer.mStatus, aAnswer.mBody });
     }
   }
 
-  /** @return nothing if the key carries an issue time within the window. */
+  /** @return success if the key starts with an issue time within the claim window. */
   result<void> CheckKey(const std::string& aKey) const
   {
     std::int64_t issued = 0;
@@ -206,8 +206,8 @@
     if (dash == std::string::npos || !absl::SimpleAtoi(aKey.substr(0, dash), &issued)) {
       return make_error_code(errc::eKeyMalformed);
     }
-    // The fold's time bounds this host's clock from below: a claim that the fold has dropped
-    // belongs to a key that is refused here, whatever this host's clock says.
+    // The log's time is a lower bound for the current time. So a key whose claim has expired from
+    // the replicated state is refused here, even if this host's clock is behind.
     const auto wall = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
     const std::int64_t now = std::max(wall.count(), mFrontend.mLog.State().TimeMs());
@@ -221,7 +221,7 @@
     return boost::outcome_v2::success();
   }
 
-  asio::awaitable<void> SendClaimed(std::string aKey)
+  asio::awaitable<void> SendWithKey(std::string aKey)
   {
     const result<void> checked = CheckKey(aKey);
     if (!checked && checked.error() == errc::eKeyExpired) {
@@ -232,26 +232,26 @@
       co_await RespondKeyError(400, checked.error(), call_outcome::eNotRun);
       co_return;
     }
-    const std::string key = ScopedKey(TeamOf(*mExchange), mName, aKey);
+    const std::string key = ScopedKey(TeamOf(*mExchange), mRouteName, aKey);
     if (const auto held = mFrontend.mLog.State().ClaimOf(key)) {
       co_await RespondFromHolder(key, held->mAttempt);
       co_return;
     }
     const keyed_call* const own = mFrontend.mKeys.Calls().Find(key);
     if (own != nullptr && own->mState != keyed_state::eAbandoned) {
-      co_await RespondFromHolder(key, own->mAttempt); // Claimed here; the fold will show it.
+      co_await RespondFromHolder(key, own->mAttempt); // Not yet read back from the log.
       co_return;
     }
     mFrontend.mKeys.Calls().Set(key, { mAttempt, keyed_state::eRunning, 0, "" });
-    const result<claim> claimed = co_await mFrontend.mLog.Claim(key, mAttempt, kClaimLimit);
+    const result<claim> claimed = co_await mFrontend.mLog.Claim(key, mAttempt, kClaimTimeout);
     if (!claimed) {
-      Abandon(key);
+      AbandonKey(key);
       co_await RespondError(mExchange,
                             { 503,
                               claimed.error(),
                               "the key can't be claimed now; the call was not sent",
                               call_outcome::eNotRun,
-                              kKeyRetry });
+                              kKeyRetryAfter });
       Count(call_outcome::eNotRun);
       co_return;
     }
@@ -259,10 +259,10 @@
       co_await RespondFromHolder(key, claimed.value().mAttempt);
       co_return;
     }
-    co_await SendOnce(key);
+    co_await SendAtMostOnce(key);
   }
 
-  /** Answers with what the daemon that holds the key says of its call. */
+  /** Answers with the state of the call that holds the key, as its daemon reports it. */
   asio::awaitable<void> RespondFromHolder(std::string aKey, attempt_id aHolder)
   {
     keyed_call call{ aHolder, keyed_state::eUnknown, 0, "" };
@@ -271,8 +271,8 @@
       call = own == nullptr ? call : *own;
     } else if (const member_info* const member = mFrontend.mMembers.Find(aHolder.mIncarnation)) {
       const json message{ { "key", aKey } };
-      const result<json> answer =
-        co_await mFrontend.mPeers.Call(member_info(*member), "claim_status", message, kStatusLimit);
+      const result<json> answer = co_await mFrontend.mPeers.Call(
+        member_info(*member), "claim_status", message, kClaimStatusTimeout);
       call = answer ? KeyedCallFromJson(answer.value()) : call;
     }
     switch (call.mState) {
@@ -303,7 +303,7 @@
                             aError,
                             mayRetry ? "another call holds this key" : "the key can't be used",
                             aOutcome,
-                            mayRetry ? duration(kKeyRetry) : duration{ 0 } });
+                            mayRetry ? duration(kKeyRetryAfter) : duration{ 0 } });
     Count(aOutcome);
   }
 
@@ -318,16 +318,16 @@
     Count(call_outcome::eDone);
   }
 
-  asio::awaitable<void> RespondFailed(bool aMaybeRun)
+  asio::awaitable<void> RespondFailed(bool aMayHaveRun)
   {
-    const call_outcome outcome = aMaybeRun ? call_outcome::eUnknown : call_outcome::eNotRun;
+    const call_outcome outcome = aMayHaveRun ? call_outcome::eUnknown : call_outcome::eNotRun;
     co_await RespondError(
       mExchange,
-      { aMaybeRun ? 502U : 503U,
-        make_error_code(aMaybeRun ? errc::eConnectionLost : errc::eNoRunner),
-        aMaybeRun ? "the connection ended before the answer" : "no runner took the call",
+      { aMayHaveRun ? 502U : 503U,
+        make_error_code(aMayHaveRun ? errc::eConnectionLost : errc::eNoRunner),
+        aMayHaveRun ? "the connection ended before the answer" : "no runner took the call",
         outcome,
-        aMaybeRun ? duration{ 0 } : duration(kNoRunnerRetry) });
+        aMayHaveRun ? duration{ 0 } : duration(kNoRunnerRetryAfter) });
     Count(outcome);
   }
 
@@ -336,10 +336,10 @@
     mFrontend.mMetrics.CountCall("service", std::string(OutcomeName(aOutcome)));
   }
 
-  frontend_context& mFrontend; ///< The daemon.
-  exchange_ptr mExchange;      ///< The caller.
-  route_spec mRoute;           ///< The route as it was when the call came.
-  std::string mName;           ///< Name of the route.
+  frontend_context& mFrontend; ///< Shared parts of the daemon.
+  exchange_ptr mExchange;      ///< The HTTP exchange with the caller.
+  route_spec mRoute;           ///< Copy of the route at arrival.
+  std::string mRouteName;      ///< Name of the route.
   attempt_id mAttempt;         ///< Identifies the call; the same for every runner tried.
   instant mDeadline;           ///< Nothing is sent after this.
   bool mGivenUp = false;       ///< The caller is gone or the deadline has passed.
--- a/src/links/daemon_link.cpp
+++ b/src/links/daemon_link.cpp
@@ -89,20 +89,20 @@
   mReady = std::move(aReady);
   SpawnGuarded(mState.mIo, SendHeartbeats());
   SpawnGuarded(mState.mIo,
-               TakeDatagrams(mHeartbeatSocket,
-                             kMaxHeartbeatDatagramBytes,
-                             [this](std::string_view aData, const udp::endpoint& /*aFrom*/) {
-                               HandleHeartbeat(aData, mState.Now());
-                             }));
+               ReceiveDatagrams(mHeartbeatSocket,
+                                kMaxHeartbeatDatagramBytes,
+                                [this](std::string_view aData, const udp::endpoint& /*aFrom*/) {
+                                  HandleHeartbeat(aData, mState.Now());
+                                }));
   SpawnGuarded(mState.mIo,
-               TakeDatagrams(mRunSocket,
-                             kMaxRunDatagramBytes,
-                             [this](std::string_view aData, const udp::endpoint& aFrom) {
-                               const instant now = mState.Now();
-                               if (const auto message = DecodeRunMessage(aData, now)) {
-                                 Apply(*message, aFrom, now);
-                               }
-                             }));
+               ReceiveDatagrams(mRunSocket,
+                                kMaxRunDatagramBytes,
+                                [this](std::string_view aData, const udp::endpoint& aFrom) {
+                                  const instant now = mState.Now();
+                                  if (const auto message = DecodeRunMessage(aData, now)) {
+                                    Apply(*message, aFrom, now);
+                                  }
+                                }));
 }
 
 void
--- a/src/links/placer_link.cpp
+++ b/src/links/placer_link.cpp
@@ -47,11 +47,11 @@
 {
   mReady = std::move(aReady);
   SpawnGuarded(mState.mIo,
-               TakeDatagrams(mSocket,
-                             kMaxQuestionDatagramBytes,
-                             [this](std::string_view aData, const udp::endpoint& aFrom) {
-                               HandleDatagram(aData, aFrom);
-                             }));
+               ReceiveDatagrams(mSocket,
+                                kMaxQuestionDatagramBytes,
+                                [this](std::string_view aData, const udp::endpoint& aFrom) {
+                                  HandleDatagram(aData, aFrom);
+                                }));
   SpawnGuarded(mState.mIo, ProcessQueue());
   SpawnGuarded(mState.mIo, SendDigests());
 }
--- a/tests/unit/http_pool_test.cpp
+++ b/tests/unit/http_pool_test.cpp
@@ -1,6 +1,7 @@
 /**
  * @file http_pool_test.cpp
- * Kept connections: of those that have fallen silent, one deadline is spent in all, not one each.
+ * If all idle connections of an endpoint are unresponsive, only one call may time out, not one per
+ * connection.
  */
 #include "net/http_client.h"
 
@@ -13,10 +14,10 @@
 
 namespace {
 
-constexpr int kKept = 4;
+constexpr int kIdleConnections = 4;
 
-/** Stand-in for a server whose open connections can be made silent, as by a cut of the path that no
- * side is told of. */
+/** A server that can stop answering on its open connections, as after a network failure that
+ * neither side is notified of. */
 class silent_server
 {
 public:
@@ -28,10 +29,10 @@
   }
 
   endpoint Address() const { return AddressOf(mAcceptor); }
-  /** Lets every connection that is open now stay without answers. */
-  void SilenceOpen() { mFirstAnswered = mConnections; }
+  /** Sends no more answers on the connections that are open now. */
+  void StopAnsweringOpenConnections() { mFirstAnswered = mConnections; }
 
-  int mConnections = 0; ///< Connections taken.
+  int mConnections = 0; ///< Connections accepted.
 
 private:
   asio::awaitable<void> AcceptLoop()
@@ -57,7 +58,7 @@
         co_return;
       }
       buffer.erase(0, length);
-      co_await Sleep(20ms); // Calls made at once are on connections of their own.
+      co_await Sleep(20ms); // The delay makes concurrent calls use separate connections.
       if (aNumber < mFirstAnswered) {
         continue;
       }
@@ -66,9 +67,9 @@
     }
   }
 
-  asio::io_context& mIo;   ///< Runs the sessions.
+  asio::io_context& mIo;   ///< Event loop of the sessions.
   tcp::acceptor mAcceptor; ///< The listening socket.
-  int mFirstAnswered = 0;  ///< Number of the first connection that is answered.
+  int mFirstAnswered = 0;  ///< Number of the first connection that gets answers.
 };
 
 asio::awaitable<void>
@@ -83,22 +84,22 @@
 
 TEST_GROUP(kept_connections){};
 
-TEST(kept_connections, OneDeadlineTellsOfAllThatFellSilent)
+TEST(kept_connections, ATimeoutOnOneIdleConnectionDropsAllOfItsEndpoint)
 {
   asio::io_context io(1);
   silent_server server(io);
   http_pool pool;
   int answered = 0;
   int failed = 0;
-  for (int number = 0; number < kKept; ++number) {
+  for (int number = 0; number < kIdleConnections; ++number) {
     Spawn(io, CallOnce(pool, server.Address(), answered, failed));
   }
   io.run_for(150ms);
-  LONGS_EQUAL(kKept, answered);
-  LONGS_EQUAL(kKept, server.mConnections);
-  server.SilenceOpen();
+  LONGS_EQUAL(kIdleConnections, answered);
+  LONGS_EQUAL(kIdleConnections, server.mConnections);
+  server.StopAnsweringOpenConnections();
   answered = 0;
-  while (answered == 0 && failed <= kKept) {
+  while (answered == 0 && failed <= kIdleConnections) {
     const int before = failed;
     Spawn(io, CallOnce(pool, server.Address(), answered, failed));
     const auto ended = [&] { return answered != 0 || failed != before; };
@@ -106,8 +107,8 @@
       io.run_for(10ms);
     }
   }
-  UT_PRINT(
-    StringFromFormat("of %d kept connections that fell silent, %d cost a deadline", kKept, failed));
+  UT_PRINT(StringFromFormat(
+    "of %d kept connections that fell silent, %d cost a deadline", kIdleConnections, failed));
   LONGS_EQUAL(1, failed);
   LONGS_EQUAL(1, answered);
 }
--- a/tests/unit/runner_test.cpp
+++ b/tests/unit/runner_test.cpp
@@ -68,13 +68,13 @@
 
 TEST(runners, PromptsWithACommonStartShareTheirFirstBlocks)
 {
-  const std::string commonPrefix(2 * kBlockBytes, 'g');
-  const auto one = PrefixBlocks(commonPrefix + std::string(3 * kBlockBytes, 'a'));
-  const auto two = PrefixBlocks(commonPrefix + std::string(3 * kBlockBytes, 'b'));
+  const std::string commonPrefix(2 * kPrefixBlockBytes, 'g');
+  const auto one = PrefixBlocks(commonPrefix + std::string(3 * kPrefixBlockBytes, 'a'));
+  const auto two = PrefixBlocks(commonPrefix + std::string(3 * kPrefixBlockBytes, 'b'));
   LONGS_EQUAL(4, one.size()); // 1, 2, 4 and all 5 blocks.
   CHECK_TRUE(one[1] == two[1]);
   CHECK_FALSE(one[2] == two[2]);
-  LONGS_EQUAL(5 * kBlockBytes / kBytesPerToken, one[3].mTokens);
+  LONGS_EQUAL(5 * kPrefixBlockBytes / kBytesPerToken, one[3].mTokens);
 }
 
 TEST(runners, ATeamsQuotaIsSharedByTheDaemons)
