--- a/scripts/check_mutants.sh
+++ b/scripts/check_mutants.sh
@@ -13,7 +13,7 @@
   grep -qF -- "$2" "$1" || { echo "no such mechanism in $1: $2"; exit 2; }
   FROM=$2 TO=$3 perl -0pi -e 's/\Q$ENV{FROM}\E/$ENV{TO}/' "$1"
 }
-switch_off src/control/cell_owner.cpp 'Carry(*cell, incarnation_gone{ aIncarnation });' '(void)aIncarnation;'
+switch_off src/control/cell_owner.cpp 'ApplyEvent(*cell, incarnation_gone{ aIncarnation });' '(void)aIncarnation;'
 switch_off src/control/cell_owner.cpp 'if (co_await IsAbandoned(attempt, age)) {' 'if (false) {'
 switch_off src/callers/completion_session.cpp 'if (aEngine.mId) {' 'if (false) {'
 switch_off src/decide/request.cpp 'aOut.mOrders.emplace_back(cancel_work' 'if (false) aOut.mOrders.emplace_back(cancel_work'
--- a/src/callers/completion_session.cpp
+++ b/src/callers/completion_session.cpp
@@ -66,12 +66,12 @@
   entry.mCell = mCell;
   entry.mRequest = DescribeRequest();
   const std::weak_ptr<completion_session> weak = self;
-  entry.mDeliver = [weak](const addressed_order& aOrder) {
+  entry.mOnOrder = [weak](const addressed_order& aOrder) {
     if (const auto session = weak.lock()) {
       session->Post(aOrder);
     }
   };
-  entry.mEnd = [weak] {
+  entry.mOnSuperseded = [weak] {
     if (const auto session = weak.lock()) {
       session->Post(taken_over{});
     }
@@ -98,7 +98,7 @@
   const member_info owner = mFrontend.mMembers.OwnerOf("key:" + scoped);
   std::optional<attempt_id> older;
   if (owner.mIncarnation == mFrontend.mMembers.Self().mIncarnation) {
-    older = mFrontend.mKeys.TakeOver(scoped, mAttempt);
+    older = mFrontend.mKeys.ReplaceNewest(scoped, mAttempt);
   } else {
     const json message{ { "key", scoped }, { "attempt", ToText(mAttempt) } };
     const result<json> answer =
@@ -113,7 +113,7 @@
   }
   if (older->mIncarnation == mFrontend.mMembers.Self().mIncarnation) {
     if (attempt_entry* const entry = mFrontend.mAttempts.Find(*older)) {
-      entry->mEnd();
+      entry->mOnSuperseded();
     }
     co_return;
   }
--- a/src/callers/frontend.cpp
+++ b/src/callers/frontend.cpp
@@ -28,7 +28,7 @@
   values.mLogReachable = aFrontend.mLog.LogReachable() ? 1 : 0;
   values.mHostListReachable = aFrontend.mHosts.Reachable() ? 1 : 0;
   values.mMembers = static_cast<double>(aFrontend.mMembers.Others().size() + 1);
-  values.mCells = static_cast<double>(aFrontend.mOwners.Owned().CellCount());
+  values.mCells = static_cast<double>(aFrontend.mOwners.OwnedCells().CellCount());
   values.mCallsUnderWay = static_cast<double>(aFrontend.mCallsUnderWay);
   values.mRefused = static_cast<double>(aTotals.mRefused);
   values.mRequeued = static_cast<double>(aTotals.mRequeued);
@@ -72,8 +72,8 @@
     co_await aExchange->Respond(ready ? 200 : 503,
                                 ready ? "{\"status\":\"ready\"}" : "{\"status\":\"not ready\"}");
   } else {
-    const std::string text =
-      aFrontend.mMetrics.Serialize(CurrentGauges(aFrontend, aFrontend.mOwners.Owned().Totals()));
+    const std::string text = aFrontend.mMetrics.Serialize(
+      CurrentGauges(aFrontend, aFrontend.mOwners.OwnedCells().Totals()));
     co_await aExchange->Respond(200, text, {}, "text/plain; version=0.0.4");
   }
 }
--- a/src/callers/service_call.cpp
+++ b/src/callers/service_call.cpp
@@ -84,7 +84,7 @@
   /** @return the next runner to try, or null. @param aTry counts the tries from 0. */
   const host* Choose(std::size_t aTry)
   {
-    std::vector<const host*> hosts = mFrontend.mHosts.LiveOf(mRoute.mServicePool);
+    std::vector<const host*> hosts = mFrontend.mHosts.AvailableHostsOf(mRoute.mServicePool);
     std::erase_if(
       hosts, [this](const host* aHost) { return mFrontend.mAvoided.Avoids(aHost->mName, Now()); });
     if (hosts.empty()) {
--- a/src/control/attempt_registry.h
+++ b/src/control/attempt_registry.h
@@ -36,8 +36,8 @@
   engine_id mPrefill;                                   ///< Prefill engine, if any.
   engine_id mDecode;                                    ///< Decode engine, if any.
   incarnation_id mOwner;                                ///< The owner that was told last.
-  std::function<void(const addressed_order&)> mDeliver; ///< Takes orders.
-  std::function<void()> mEnd;                           ///< Ends the attempt for a newer one.
+  std::function<void(const addressed_order&)> mOnOrder; ///< Takes orders.
+  std::function<void()> mOnSuperseded;                  ///< Ends the attempt for a newer one.
 };
 
 /** Attempts by id. */
--- a/src/control/cell_limits.h
+++ b/src/control/cell_limits.h
@@ -9,10 +9,10 @@
 namespace dunehook {
 
 /** Rest between looks at an engine. */
-inline constexpr duration kWatchEvery = std::chrono::milliseconds(250);
+inline constexpr duration kEnginePollInterval = std::chrono::milliseconds(250);
 /** Time limit of a call to an engine. */
-inline constexpr duration kEngineLimit = std::chrono::milliseconds(500);
+inline constexpr duration kEngineCallTimeout = std::chrono::milliseconds(500);
 /** Time limit of an order to a frontend, or of a question to it. */
-inline constexpr duration kOrderLimit = std::chrono::milliseconds(300);
+inline constexpr duration kFrontendCallTimeout = std::chrono::milliseconds(300);
 
 } // namespace dunehook
--- a/src/control/cell_owner.cpp
+++ b/src/control/cell_owner.cpp
@@ -18,15 +18,15 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kTickEvery = 10ms; ///< Time limits take effect this late at most.
+constexpr duration kTickInterval = 10ms; ///< Time limits take effect this late at most.
 /** An owner that has just started hears of a frontend some ms after the frontend has heard it and
  * has sent its first events. Orders wait for the frontend's heartbeat so long, several times
  * between heartbeats; a dropped one leaves its call without an answer. */
-constexpr duration kFrontendHeardWithin = 1s;
-constexpr duration kFrontendUnheardRest = 20ms; ///< Time between looks for it.
-constexpr duration kGiveUpAfter = 2s; ///< A cell that ranks elsewhere is dropped after this.
-constexpr int kOrderTries = 3;
-constexpr int kCancelTries = 5;
+constexpr duration kFrontendHeartbeatTimeout = 1s;
+constexpr duration kFrontendPollInterval = 20ms; ///< Time between looks for it.
+constexpr duration kCellDropDelay = 2s; ///< A cell that ranks elsewhere is dropped after this.
+constexpr int kMaxOrderTries = 3;
+constexpr int kMaxCancelTries = 5;
 
 } // namespace
 
@@ -44,12 +44,12 @@
 }
 
 cell_owner::cell_entry&
-cell_owner::CellOf(const cell_key& aKey)
+cell_owner::GetOrCreateCell(const cell_key& aKey)
 {
   std::unique_ptr<cell_entry>& slot = mCells[aKey];
   if (!slot) {
     slot = std::make_unique<cell_entry>(cell_settings{}, mMembers.Self().mIncarnation.mValue);
-    slot->mOwnedLast = Now();
+    slot->mLastOwned = Now();
     SyncCell(aKey, *slot);
     LogEvent(log_level::eInfo, "cell_taken", { { "cell", ToText(aKey) } });
   }
@@ -65,7 +65,7 @@
   } else if (auto* const adopted = std::get_if<request_adopted>(&event)) {
     SetTargets(adopted->mRequest);
   }
-  Carry(CellOf(aKey), event);
+  ApplyEvent(GetOrCreateCell(aKey), event);
 }
 
 void
@@ -79,21 +79,21 @@
 }
 
 void
-cell_owner::Carry(cell_entry& aCell, const decide_event& aEvent)
+cell_owner::ApplyEvent(cell_entry& aCell, const decide_event& aEvent)
 {
   Dispatch(aCell.mCore.Handle(aEvent, Now()));
 }
 
 void
-cell_owner::NoteGone(incarnation_id aIncarnation)
+cell_owner::HandleDaemonGone(incarnation_id aIncarnation)
 {
   for (auto& [key, cell] : mCells) {
-    Carry(*cell, incarnation_gone{ aIncarnation });
+    ApplyEvent(*cell, incarnation_gone{ aIncarnation });
   }
 }
 
 void
-cell_owner::Sync()
+cell_owner::SyncAllCells()
 {
   for (auto& [key, cell] : mCells) {
     SyncCell(key, *cell);
@@ -113,7 +113,7 @@
     settings.mLink = *link;
   }
   if (settings != aCell.mCore.State().mSettings) {
-    Carry(aCell, cell_changed{ settings });
+    ApplyEvent(aCell, cell_changed{ settings });
   }
   std::set<engine_id> seen;
   SyncEngines(aCell, aKey.mPrefillPool, seen);
@@ -125,7 +125,7 @@
     }
   }
   for (const engine_id id : gone) {
-    Carry(aCell, engine_gone{ id });
+    ApplyEvent(aCell, engine_gone{ id });
   }
 }
 
@@ -150,7 +150,7 @@
     const auto& engines = aCell.mCore.State().mEngines;
     const auto known = engines.find(info.mId);
     if (known == engines.end() || known->second.mInfo != info) {
-      Carry(aCell, engine_seen{ info });
+      ApplyEvent(aCell, engine_seen{ info });
     }
   }
 }
@@ -166,12 +166,12 @@
     if (const host* const engine = mHosts.Find(EngineOf(order))) {
       addressed.mAddress = engine->mAddress;
     }
-    Deliver(addressed);
+    DeliverOrder(addressed);
   }
 }
 
 void
-cell_owner::Deliver(const addressed_order& aOrder)
+cell_owner::DeliverOrder(const addressed_order& aOrder)
 {
   const attempt_id attempt = AttemptOf(aOrder.mOrder);
   if (std::holds_alternative<cancel_work>(aOrder.mOrder)) {
@@ -185,7 +185,7 @@
     return;
   }
   if (attempt_entry* const entry = mAttempts.Find(attempt)) {
-    entry->mDeliver(aOrder);
+    entry->mOnOrder(aOrder);
   }
 }
 
@@ -194,17 +194,18 @@
 {
   const json message = OrderToJson(aOrder);
   const incarnation_id frontend = AttemptOf(aOrder.mOrder).mIncarnation;
-  const instant heardBy = Now() + kFrontendHeardWithin;
-  while (mMembers.Find(frontend) == nullptr && !mMembers.IsKnownGone(frontend) && Now() < heardBy) {
-    co_await Sleep(kFrontendUnheardRest);
+  const instant heartbeatDeadline = Now() + kFrontendHeartbeatTimeout;
+  while (mMembers.Find(frontend) == nullptr && !mMembers.IsKnownGone(frontend) &&
+         Now() < heartbeatDeadline) {
+    co_await Sleep(kFrontendPollInterval);
   }
-  for (int tries = 0; tries < kOrderTries; ++tries) {
+  for (int tries = 0; tries < kMaxOrderTries; ++tries) {
     const member_info* const member = mMembers.Find(frontend);
     if (member == nullptr) {
       co_return; // Its end frees what it had.
     }
     const result<json> answer =
-      co_await mPeers.Call(member_info(*member), "order", message, kOrderLimit);
+      co_await mPeers.Call(member_info(*member), "order", message, kFrontendCallTimeout);
     if (answer) {
       co_return;
     }
@@ -214,11 +215,11 @@
 asio::awaitable<void>
 cell_owner::CancelAt(endpoint aEngine, attempt_id aAttempt)
 {
-  for (int tries = 0; tries < kCancelTries; ++tries) {
-    if (co_await mEngines.Cancel(aEngine, aAttempt, kEngineLimit)) {
+  for (int tries = 0; tries < kMaxCancelTries; ++tries) {
+    if (co_await mEngines.Cancel(aEngine, aAttempt, kEngineCallTimeout)) {
       co_return;
     }
-    co_await Sleep(kWatchEvery);
+    co_await Sleep(kEnginePollInterval);
   }
 }
 
@@ -226,7 +227,7 @@
 cell_owner::TickLoop()
 {
   for (;;) {
-    co_await Sleep(kTickEvery);
+    co_await Sleep(kTickInterval);
     for (auto& [key, cell] : mCells) {
       Dispatch(cell->mCore.Tick(Now()));
     }
@@ -234,17 +235,17 @@
 }
 
 void
-cell_owner::DropLostCells()
+cell_owner::DropUnownedCells()
 {
   for (auto row = mCells.begin(); row != mCells.end();) {
     const bool owned =
       mMembers.OwnerOf(ToText(row->first)).mIncarnation == mMembers.Self().mIncarnation;
     if (owned) {
-      row->second->mOwnedLast = Now();
+      row->second->mLastOwned = Now();
     }
-    if (Now() - row->second->mOwnedLast > kGiveUpAfter) {
+    if (Now() - row->second->mLastOwned > kCellDropDelay) {
       LogEvent(log_level::eInfo, "cell_dropped", { { "cell", ToText(row->first) } });
-      Add(mPast, row->second->mCore.State().mCounters);
+      AddCounters(mDroppedCellTotals, row->second->mCore.State().mCounters);
       row = mCells.erase(row);
     } else {
       ++row;
@@ -256,7 +257,7 @@
 cell_owner::WatchLoop()
 {
   for (;;) {
-    co_await Sleep(kWatchEvery);
+    co_await Sleep(kEnginePollInterval);
     // A cell whose owner ended is taken over here even before a frontend asks for it.
     for (const auto& [key, one] : mLog.State().Resources()) {
       const auto* const route = std::get_if<route_spec>(&one.mSpec);
@@ -265,16 +266,16 @@
       }
       const cell_key cell{ route->mPrefillPool, route->mDecodePool, route->mLink };
       if (mMembers.OwnerOf(ToText(cell)).mIncarnation == mMembers.Self().mIncarnation) {
-        CellOf(cell);
+        GetOrCreateCell(cell);
       }
     }
-    DropLostCells();
-    WatchEngines();
+    DropUnownedCells();
+    StartEnginePolling();
   }
 }
 
 void
-cell_owner::Add(cell_counters& aTo, const cell_counters& aFrom)
+cell_owner::AddCounters(cell_counters& aTo, const cell_counters& aFrom)
 {
   aTo.mArrived += aFrom.mArrived;
   aTo.mAdmitted += aFrom.mAdmitted;
@@ -290,9 +291,9 @@
 cell_counters
 cell_owner::Totals() const
 {
-  cell_counters totals = mPast;
+  cell_counters totals = mDroppedCellTotals;
   for (const auto& [key, cell] : mCells) {
-    Add(totals, cell->mCore.State().mCounters);
+    AddCounters(totals, cell->mCore.State().mCounters);
   }
   return totals;
 }
--- a/src/control/cell_owner.h
+++ b/src/control/cell_owner.h
@@ -45,9 +45,9 @@
   /** Takes an event of a frontend. */
   void Handle(const cell_key& aKey, const decide_event& aEvent);
   /** Frees what a daemon run that ended had under way. */
-  void NoteGone(incarnation_id aIncarnation);
+  void HandleDaemonGone(incarnation_id aIncarnation);
   /** Brings every cell in line with the configuration and the host list. */
-  void Sync();
+  void SyncAllCells();
   /** @return totals over the owned cells, those given up included. */
   cell_counters Totals() const;
   std::size_t CellCount() const { return mCells.size(); }
@@ -62,46 +62,46 @@
     {
     }
     core_type mCore;         ///< Decides.
-    instant mOwnedLast{ 0 }; ///< When this daemon last ranked first for the cell.
+    instant mLastOwned{ 0 }; ///< When this daemon last ranked first for the cell.
     /** Holds at engines that the core doesn't know, with when they were first seen. */
-    std::map<std::pair<engine_id, attempt_id>, instant> mStrangers;
-    std::map<engine_id, std::uint64_t> mCacheNext; ///< Next cache event wanted, by engine.
+    std::map<std::pair<engine_id, attempt_id>, instant> mUnknownHolds;
+    std::map<engine_id, std::uint64_t> mNextCacheEvent; ///< Next cache event wanted, by engine.
   };
 
   void SetTargets(request_arrived& aRequest) const;
-  cell_entry& CellOf(const cell_key& aKey);
+  cell_entry& GetOrCreateCell(const cell_key& aKey);
   void SyncCell(const cell_key& aKey, cell_entry& aCell);
   void SyncEngines(cell_entry& aCell, const std::string& aPool, std::set<engine_id>& aSeen);
-  void Carry(cell_entry& aCell, const decide_event& aEvent);
+  void ApplyEvent(cell_entry& aCell, const decide_event& aEvent);
   void Dispatch(const tick_result& aResult);
-  void Deliver(const addressed_order& aOrder);
+  void DeliverOrder(const addressed_order& aOrder);
   asio::awaitable<void> SendOrder(addressed_order aOrder);
   asio::awaitable<void> CancelAt(endpoint aEngine, attempt_id aAttempt);
   asio::awaitable<void> TickLoop();
   asio::awaitable<void> WatchLoop();
   /** Something done at an engine again and again. @return whether the engine answered. */
-  using engine_step = asio::awaitable<bool> (cell_owner::*)(engine_id aEngine);
+  using engine_poll = asio::awaitable<bool> (cell_owner::*)(engine_id aEngine);
   /** Attempts that a cell doesn't know, with how long they have been seen. */
-  using stranger_ages = std::map<attempt_id, duration>;
+  using unknown_hold_ages = std::map<attempt_id, duration>;
 
-  void WatchEngines();
-  bool IsInACell(engine_id aEngine) const;
-  asio::awaitable<void> Repeat(engine_id aEngine,
-                               engine_step aStep,
-                               std::set<engine_id>& aRepeated);
-  asio::awaitable<bool> LookAtHolds(engine_id aEngine);
+  void StartEnginePolling();
+  bool IsInOwnedCell(engine_id aEngine) const;
+  asio::awaitable<void> PollEngine(engine_id aEngine,
+                                   engine_poll aPoll,
+                                   std::set<engine_id>& aPolled);
+  asio::awaitable<bool> PollHolds(engine_id aEngine);
   void ReportHolds(cell_entry& aCell,
                    engine_id aEngine,
                    const std::vector<engine_hold>& aHolds,
-                   stranger_ages& aStrangers);
-  asio::awaitable<void> FreeAbandoned(engine_id aEngine,
-                                      endpoint aAddress,
-                                      stranger_ages aStrangers);
+                   unknown_hold_ages& aUnknownHolds);
+  asio::awaitable<void> FreeAbandonedHolds(engine_id aEngine,
+                                           endpoint aAddress,
+                                           unknown_hold_ages aUnknownHolds);
   asio::awaitable<result<bool>> IsAbandoned(attempt_id aAttempt, duration aAge);
-  asio::awaitable<bool> LookAtCache(engine_id aEngine);
+  asio::awaitable<bool> PollCacheEvents(engine_id aEngine);
   asio::awaitable<bool> ReadCacheEvents(cell_key aKey, engine_id aEngine, endpoint aAddress);
-  void DropLostCells();
-  static void Add(cell_counters& aTo, const cell_counters& aFrom);
+  void DropUnownedCells();
+  static void AddCounters(cell_counters& aTo, const cell_counters& aFrom);
   static instant Now() { return boot_clock_source().Now(); }
 
   asio::io_context& mIo;                                  ///< Runs the loops.
@@ -112,9 +112,9 @@
   engine_client& mEngines;                                ///< Carries cancels.
   attempt_registry& mAttempts;                            ///< Attempts of this daemon.
   std::map<cell_key, std::unique_ptr<cell_entry>> mCells; ///< Owned cells.
-  cell_counters mPast;                                    ///< Totals of cells given up.
-  std::set<engine_id> mHoldsRepeated;                     ///< Engines whose holds are looked at.
-  std::set<engine_id> mCacheRepeated;                     ///< Engines whose cache is looked at.
+  cell_counters mDroppedCellTotals;                       ///< Totals of cells given up.
+  std::set<engine_id> mHoldsPolled;                       ///< Engines whose holds are looked at.
+  std::set<engine_id> mCachePolled;                       ///< Engines whose cache is looked at.
   std::set<engine_id> mFreeing;                           ///< Engines whose holds are being freed.
 };
 
--- a/src/control/cell_watch.cpp
+++ b/src/control/cell_watch.cpp
@@ -18,17 +18,17 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-/** Longest rest after looks that an engine didn't answer. With kEngineLimit it stays below
- * kFailedTime, for which a failed look keeps work away from the engine: an engine that is silent
- * all the while gets none. */
-constexpr duration kLongestWatchRest = 450ms;
-static_assert(kLongestWatchRest + kEngineLimit < kFailedTime);
-constexpr duration kStrangerGrace = 1s; ///< A hold unknown here may be news under way.
+/** Longest rest after looks that an engine didn't answer. With kEngineCallTimeout it stays below
+ * kFailedTime, for which a failed look keeps work away from the engine: an engine that is
+ * unresponsive all the while gets none. */
+constexpr duration kMaxEnginePollInterval = 450ms;
+static_assert(kMaxEnginePollInterval + kEngineCallTimeout < kFailedTime);
+constexpr duration kUnknownHoldGracePeriod = 1s; ///< A hold unknown here may be news under way.
 
 } // namespace
 
 void
-cell_owner::WatchEngines()
+cell_owner::StartEnginePolling()
 {
   std::set<engine_id> engines;
   for (const auto& [key, cell] : mCells) {
@@ -37,17 +37,17 @@
     }
   }
   for (const engine_id id : engines) {
-    if (mHoldsRepeated.insert(id).second) {
-      Spawn(mIo, Repeat(id, &cell_owner::LookAtHolds, mHoldsRepeated));
+    if (mHoldsPolled.insert(id).second) {
+      Spawn(mIo, PollEngine(id, &cell_owner::PollHolds, mHoldsPolled));
     }
-    if (mCacheRepeated.insert(id).second) {
-      Spawn(mIo, Repeat(id, &cell_owner::LookAtCache, mCacheRepeated));
+    if (mCachePolled.insert(id).second) {
+      Spawn(mIo, PollEngine(id, &cell_owner::PollCacheEvents, mCachePolled));
     }
   }
 }
 
 bool
-cell_owner::IsInACell(engine_id aEngine) const
+cell_owner::IsInOwnedCell(engine_id aEngine) const
 {
   return std::any_of(mCells.begin(), mCells.end(), [aEngine](const auto& aRow) {
     return aRow.second->mCore.State().mEngines.contains(aEngine);
@@ -60,52 +60,53 @@
  * it is.
  */
 asio::awaitable<void>
-cell_owner::Repeat(engine_id aEngine, engine_step aStep, std::set<engine_id>& aRepeated)
+cell_owner::PollEngine(engine_id aEngine, engine_poll aPoll, std::set<engine_id>& aPolled)
 {
-  duration rest = kWatchEvery;
-  while (IsInACell(aEngine)) {
-    const bool answered = co_await (this->*aStep)(aEngine);
-    rest = answered ? kWatchEvery : std::min(rest * 2, kLongestWatchRest);
+  duration rest = kEnginePollInterval;
+  while (IsInOwnedCell(aEngine)) {
+    const bool answered = co_await (this->*aPoll)(aEngine);
+    rest = answered ? kEnginePollInterval : std::min(rest * 2, kMaxEnginePollInterval);
     co_await Sleep(rest);
   }
-  aRepeated.erase(aEngine);
+  aPolled.erase(aEngine);
 }
 
 asio::awaitable<bool>
-cell_owner::LookAtHolds(engine_id aEngine)
+cell_owner::PollHolds(engine_id aEngine)
 {
   const host* const at = mHosts.Find(aEngine);
   if (at == nullptr) {
     co_return true; // It's about to leave the cells.
   }
   const endpoint address = at->mAddress;
-  const result<std::vector<engine_hold>> holds = co_await mEngines.Holds(address, kEngineLimit);
-  stranger_ages strangers;
+  const result<std::vector<engine_hold>> holds =
+    co_await mEngines.Holds(address, kEngineCallTimeout);
+  unknown_hold_ages unknownHolds;
   for (const auto& [key, cell] : mCells) {
     if (!cell->mCore.State().mEngines.contains(aEngine)) {
       continue;
     }
     if (holds) {
-      ReportHolds(*cell, aEngine, holds.value(), strangers);
+      ReportHolds(*cell, aEngine, holds.value(), unknownHolds);
     } else {
-      Carry(*cell, engine_silent{ aEngine });
+      ApplyEvent(*cell, engine_silent{ aEngine });
     }
   }
-  if (!strangers.empty() && mFreeing.insert(aEngine).second) {
-    Spawn(mIo, FreeAbandoned(aEngine, address, std::move(strangers)));
+  if (!unknownHolds.empty() && mFreeing.insert(aEngine).second) {
+    Spawn(mIo, FreeAbandonedHolds(aEngine, address, std::move(unknownHolds)));
   }
   co_return holds.has_value();
 }
 
-/** Tells a cell what its engine holds. @param aStrangers takes the attempts it doesn't know. */
+/** Tells a cell what its engine holds. @param aUnknownHolds takes the attempts it doesn't know. */
 void
 cell_owner::ReportHolds(cell_entry& aCell,
                         engine_id aEngine,
                         const std::vector<engine_hold>& aHolds,
-                        stranger_ages& aStrangers)
+                        unknown_hold_ages& aUnknownHolds)
 {
   load_reported report{ aEngine, 0, 0 };
-  std::map<std::pair<engine_id, attempt_id>, instant> stillStrange;
+  std::map<std::pair<engine_id, attempt_id>, instant> stillUnknown;
   for (const engine_hold& hold : aHolds) {
     report.mHeld += hold.mSlot ? 1 : 0;
     if (aCell.mCore.State().mRequests.contains(hold.mAttempt)) {
@@ -113,38 +114,40 @@
     }
     report.mForeign += hold.mSlot ? 1 : 0;
     const auto row = std::make_pair(aEngine, hold.mAttempt);
-    const auto since = aCell.mStrangers.try_emplace(row, Now()).first->second;
-    stillStrange[row] = since;
-    duration& age = aStrangers[hold.mAttempt];
+    const auto since = aCell.mUnknownHolds.try_emplace(row, Now()).first->second;
+    stillUnknown[row] = since;
+    duration& age = aUnknownHolds[hold.mAttempt];
     age = std::max(age, Now() - since);
   }
-  std::erase_if(aCell.mStrangers, [&](const auto& aRow) {
-    return aRow.first.first == aEngine && !stillStrange.contains(aRow.first);
+  std::erase_if(aCell.mUnknownHolds, [&](const auto& aRow) {
+    return aRow.first.first == aEngine && !stillUnknown.contains(aRow.first);
   });
-  Carry(aCell, report);
+  ApplyEvent(aCell, report);
 }
 
 /**
- * Frees those of an engine's strangers that nobody waits for, one after the other. One that isn't
- * freed is listed by a later look and tried again then. A frontend that doesn't answer is asked
- * once, not for each of its attempts.
+ * Frees those of an engine's unknownHolds that nobody waits for, one after the other. One that
+ * isn't freed is listed by a later look and tried again then. A frontend that doesn't answer is
+ * asked once, not for each of its attempts.
  */
 asio::awaitable<void>
-cell_owner::FreeAbandoned(engine_id aEngine, endpoint aAddress, stranger_ages aStrangers)
+cell_owner::FreeAbandonedHolds(engine_id aEngine,
+                               endpoint aAddress,
+                               unknown_hold_ages aUnknownHolds)
 {
-  std::set<incarnation_id> silent;
-  for (const auto& [attempt, age] : aStrangers) {
-    if (silent.contains(attempt.mIncarnation)) {
+  std::set<incarnation_id> unresponsive;
+  for (const auto& [attempt, age] : aUnknownHolds) {
+    if (unresponsive.contains(attempt.mIncarnation)) {
       continue;
     }
     const result<bool> abandoned = co_await IsAbandoned(attempt, age);
     if (!abandoned) {
-      silent.insert(attempt.mIncarnation);
+      unresponsive.insert(attempt.mIncarnation);
     } else if (abandoned.value()) {
       LogEvent(log_level::eWarning,
                "hold_freed",
                { { "attempt", ToText(attempt) }, { "engine", ToText(aAddress) } });
-      co_await mEngines.Cancel(aAddress, attempt, kEngineLimit);
+      co_await mEngines.Cancel(aAddress, attempt, kEngineCallTimeout);
     }
   }
   mFreeing.erase(aEngine);
@@ -157,7 +160,7 @@
   if (mMembers.IsKnownGone(aAttempt.mIncarnation)) {
     co_return true;
   }
-  if (aAge < kStrangerGrace) {
+  if (aAge < kUnknownHoldGracePeriod) {
     co_return false;
   }
   if (aAttempt.mIncarnation == mMembers.Self().mIncarnation) {
@@ -169,7 +172,7 @@
   }
   const json message{ { "attempt", ToText(aAttempt) } };
   const result<json> answer =
-    co_await mPeers.Call(member_info(*frontend), "attempt_active", message, kOrderLimit);
+    co_await mPeers.Call(member_info(*frontend), "attempt_active", message, kFrontendCallTimeout);
   if (!answer) {
     co_return answer.error();
   }
@@ -177,7 +180,7 @@
 }
 
 asio::awaitable<bool>
-cell_owner::LookAtCache(engine_id aEngine)
+cell_owner::PollCacheEvents(engine_id aEngine)
 {
   const host* const at = mHosts.Find(aEngine);
   if (at == nullptr) {
@@ -206,22 +209,22 @@
   if (before == mCells.end()) {
     co_return true;
   }
-  const std::uint64_t from = before->second->mCacheNext[aEngine];
+  const std::uint64_t from = before->second->mNextCacheEvent[aEngine];
   const result<json> events =
-    co_await mEngines.Get(aAddress, Join("/v1/cache_events?from=", from), kEngineLimit);
+    co_await mEngines.Get(aAddress, Join("/v1/cache_events?from=", from), kEngineCallTimeout);
   if (!events) {
     co_return false;
   }
   const auto found = mCells.find(aKey);
-  if (found == mCells.end() || found->second->mCacheNext[aEngine] != from) {
+  if (found == mCells.end() || found->second->mNextCacheEvent[aEngine] != from) {
     co_return true; // Given up, or taken anew meanwhile: a new cell needs all events.
   }
   for (const json& event : events.value().value("events", json::array())) {
-    Carry(*found->second,
-          cache_changed{
-            aEngine, event.value("hash", std::uint64_t{ 0 }), event.value("present", false) });
+    ApplyEvent(*found->second,
+               cache_changed{
+                 aEngine, event.value("hash", std::uint64_t{ 0 }), event.value("present", false) });
   }
-  found->second->mCacheNext[aEngine] = events.value().value("next", from);
+  found->second->mNextCacheEvent[aEngine] = events.value().value("next", from);
   co_return true;
 }
 
--- a/src/control/host_directory.cpp
+++ b/src/control/host_directory.cpp
@@ -16,7 +16,7 @@
 }
 
 std::vector<const host*>
-host_directory::LiveOf(const std::string& aPool) const
+host_directory::AvailableHostsOf(const std::string& aPool) const
 {
   std::vector<const host*> live;
   for (const host& one : mHosts) {
--- a/src/control/host_directory.h
+++ b/src/control/host_directory.h
@@ -42,7 +42,7 @@
   /** @return a runner by id, or null. */
   const host* Find(engine_id aId) const;
   /** @return the live, not leaving hosts of a pool. */
-  std::vector<const host*> LiveOf(const std::string& aPool) const;
+  std::vector<const host*> AvailableHostsOf(const std::string& aPool) const;
   /** @return whether the list was read at least once. */
   bool Ready() const { return mReady; }
   /** @return whether the last read succeeded. */
--- a/src/control/key_registry.h
+++ b/src/control/key_registry.h
@@ -39,8 +39,8 @@
 class bounded_table
 {
 public:
-  explicit bounded_table(std::size_t aMost)
-    : mMost(aMost)
+  explicit bounded_table(std::size_t aMaxEntries)
+    : mMaxEntries(aMaxEntries)
   {
   }
 
@@ -50,7 +50,7 @@
     if (mValues.insert_or_assign(aKey, std::move(aValue)).second) {
       mOrder.push_back(aKey);
     }
-    if (mOrder.size() > mMost) {
+    if (mOrder.size() > mMaxEntries) {
       mValues.erase(mOrder.front());
       mOrder.pop_front();
     }
@@ -64,7 +64,7 @@
   }
 
 private:
-  std::size_t mMost;                              ///< Most entries.
+  std::size_t mMaxEntries;                        ///< Most entries.
   std::unordered_map<std::string, Value> mValues; ///< By key.
   std::deque<std::string> mOrder;                 ///< Keys of mValues, oldest first.
 };
@@ -76,7 +76,7 @@
   bounded_table<keyed_call>& Calls() { return mCalls; }
 
   /** @return the attempt that was the newest for a key, and makes @p aAttempt the newest. */
-  std::optional<attempt_id> TakeOver(const std::string& aKey, attempt_id aAttempt)
+  std::optional<attempt_id> ReplaceNewest(const std::string& aKey, attempt_id aAttempt)
   {
     const attempt_id* const before = mNewest.Find(aKey);
     const std::optional<attempt_id> old = before == nullptr ? std::nullopt : std::optional(*before);
--- a/src/control/log_follower.cpp
+++ b/src/control/log_follower.cpp
@@ -17,24 +17,24 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kReadWait = 1s;           ///< How long a read waits for news.
-constexpr duration kFirstReadRest = 150ms;   ///< Rest after a read that failed or brought nothing.
-constexpr duration kLongestReadRest = 600ms; ///< That rest is doubled up to this.
-constexpr duration kRelayPause = 100ms;      ///< Time between looks at who is ahead.
-/** Rest after a relay that failed or brought nothing, at most; doubled from kRelayPause. What is
- * written meanwhile is in force within 2 s. */
-constexpr duration kLongestRelayRest = 1s;
+constexpr duration kReadLongPollTime = 1s;  ///< How long a read waits for news.
+constexpr duration kMinReadBackoff = 150ms; ///< Rest after a read that failed or brought nothing.
+constexpr duration kMaxReadBackoff = 600ms; ///< That rest is doubled up to this.
+constexpr duration kRelayPollInterval = 100ms; ///< Time between looks at who is ahead.
+/** Rest after a relay that failed or brought nothing, at most; doubled from kRelayPollInterval.
+ * What is written meanwhile is in force within 2 s. */
+constexpr duration kMaxRelayBackoff = 1s;
 /** The snapshot of a daemon must come within this. Doubled after each that is late, up to the
  * longest: with one limit a slow one would never come. */
-constexpr duration kFirstSnapshotLimit = 5s;
-constexpr duration kLongestSnapshotLimit = 40s;
-constexpr duration kAmbiguousWait = 400ms; ///< Wait for a record whose answer was lost.
-constexpr duration kBatchTime = 5ms;       ///< How long a batch gathers records.
-constexpr duration kPeerLimit = 500ms;     ///< Time limit of a relay call.
-constexpr duration kSnapshotPause = 250ms; ///< Spread of snapshot writers, by rank.
-constexpr duration kLongWait = 1h;
-constexpr std::size_t kRelayRecords = 256;      ///< Records of one relay call, at most.
-constexpr std::size_t kFewestRelayRecords = 16; ///< Halved down to this after late answers.
+constexpr duration kMinSnapshotTimeout = 5s;
+constexpr duration kMaxSnapshotTimeout = 40s;
+constexpr duration kAmbiguousAppendWait = 400ms; ///< Wait for a record whose answer was lost.
+constexpr duration kBatchDelay = 5ms;            ///< How long a batch gathers records.
+constexpr duration kRelayCallTimeout = 500ms;    ///< Time limit of a relay call.
+constexpr duration kSnapshotStagger = 250ms;     ///< Spread of snapshot writers, by rank.
+constexpr duration kIdleWait = 1h;
+constexpr std::size_t kMaxRelayRecords = 256; ///< Records of one relay call, at most.
+constexpr std::size_t kMinRelayRecords = 16;  ///< Halved down to this after late answers.
 constexpr std::size_t kMaxBatchRecords = 256;
 constexpr std::size_t kMaxBatchBytes = std::size_t{ 512 } << 10U;
 constexpr std::size_t kSnapshotPartBytes = std::size_t{ 256 } << 10U;
@@ -78,9 +78,9 @@
   , mChanged(aIo)
   , mBatch(std::make_shared<append_batch>(aIo))
   , mBatchReady(aIo)
-  , mAppendShare(aSettings.mAppendsPerSecond, kAppendBurst)
-  , mRelayRecords(kRelayRecords)
-  , mSnapshotLimit(kFirstSnapshotLimit)
+  , mAppendLimiter(aSettings.mAppendsPerSecond, kAppendBurst)
+  , mRelayRecords(kMaxRelayRecords)
+  , mSnapshotTimeout(kMinSnapshotTimeout)
 {
 }
 
@@ -93,12 +93,12 @@
   Spawn(mIo, SnapshotLoop());
 }
 
-/** Rests after what failed or brought nothing; each time longer until @p aRest is set back. */
+/** Rests after what failed or brought nothing; each time longer until @p aDelay is set back. */
 asio::awaitable<void>
-log_follower::Rest(duration& aRest, duration aLongest)
+log_follower::Backoff(duration& aDelay, duration aMaxDelay)
 {
-  const duration rest = aRest;
-  aRest = std::min(aRest * 2, aLongest);
+  const duration rest = aDelay;
+  aDelay = std::min(aDelay * 2, aMaxDelay);
   co_await Sleep(rest);
 }
 
@@ -106,31 +106,31 @@
 log_follower::ReadLoop()
 {
   const boot_clock_source clock;
-  duration rest = kFirstReadRest;
+  duration rest = kMinReadBackoff;
   for (;;) {
     const instant began = clock.Now();
     const std::uint64_t before = mFold.Next();
-    const result<log_batch> batch = co_await mLog.Read(before, kReadWait);
+    const result<log_batch> batch = co_await mLog.Read(before, kReadLongPollTime);
     bool loaded = false;
     if (batch) {
       mLogReachable = true;
       ApplyAll(batch.value().mRecords);
       mLogHeadReached = mLogHeadReached || mFold.Next() >= batch.value().mNext;
-      NoteProgress();
+      UpdateCaughtUp();
     } else if (batch.error() == errc::eRetentionPassed) {
       loaded = co_await LoadSnapshotFromLog();
     }
     if (!batch && !loaded) {
       mLogReachable = false;
-      NoteProgress();
+      UpdateCaughtUp();
     }
     // A log that holds its answers paces the reads. One that answers nothing new at once is left
     // alone for a rest.
-    const bool held = batch && clock.Now() - began >= kLongestReadRest;
+    const bool held = batch && clock.Now() - began >= kMaxReadBackoff;
     if (held || loaded || (batch && mFold.Next() > before)) {
-      rest = kFirstReadRest;
+      rest = kMinReadBackoff;
     } else {
-      co_await Rest(rest, kLongestReadRest);
+      co_await Backoff(rest, kMaxReadBackoff);
     }
   }
 }
@@ -149,7 +149,7 @@
     for (const log_record& record : batch.value().mRecords) {
       std::optional<fold> loaded = reader.Take(record);
       if (loaded && loaded->Next() >= batch.value().mFirst) {
-        Adopt(std::move(*loaded));
+        ReplaceFold(std::move(*loaded));
         co_return true;
       }
     }
@@ -158,14 +158,14 @@
 }
 
 void
-log_follower::Adopt(fold aFold)
+log_follower::ReplaceFold(fold aFold)
 {
   if (aFold.Next() <= mFold.Next()) {
     return; // Never back: what is in force stays in force.
   }
   LogEvent(log_level::eInfo, "snapshot_loaded", { { "next", aFold.Next() } });
   mFold = std::move(aFold);
-  mKept.clear();
+  mRecentRecords.clear();
   mChanged.Notify();
   if (mOnApplied) {
     mOnApplied();
@@ -181,11 +181,11 @@
       continue; // Folded already, by way of another daemon.
     }
     mFold.Apply(record);
-    mKept.push_back(record);
+    mRecentRecords.push_back(record);
     applied = true;
   }
-  while (mKept.size() > kMaxKept) {
-    mKept.pop_front();
+  while (mRecentRecords.size() > kMaxRecentRecords) {
+    mRecentRecords.pop_front();
   }
   if (applied) {
     mChanged.Notify();
@@ -196,7 +196,7 @@
 }
 
 void
-log_follower::NoteProgress()
+log_follower::UpdateCaughtUp()
 {
   const bool reachedPeers = mFold.Next() >= mMembers.HighestNext();
   const bool knowsEnd =
@@ -207,17 +207,17 @@
 asio::awaitable<void>
 log_follower::RelayLoop()
 {
-  duration rest = kRelayPause;
+  duration rest = kRelayPollInterval;
   for (;;) {
-    co_await Sleep(kRelayPause);
+    co_await Sleep(kRelayPollInterval);
     const std::uint64_t before = mFold.Next();
     if (mMembers.HighestNext() <= before) {
-      rest = kRelayPause;
+      rest = kRelayPollInterval;
       continue;
     }
-    co_await Sleep(kRelayPause); // The log itself may be about to bring the records.
+    co_await Sleep(kRelayPollInterval); // The log itself may be about to bring the records.
     if (mFold.Next() != before) {
-      rest = kRelayPause;
+      rest = kRelayPollInterval;
       continue;
     }
     const member_info* ahead = nullptr;
@@ -227,26 +227,26 @@
       }
     }
     if (ahead != nullptr) {
-      co_await FetchFromPeer(member_info(*ahead));
-      NoteProgress();
+      co_await FetchRecordsFromPeer(member_info(*ahead));
+      UpdateCaughtUp();
       if (mFold.Next() == before) {
-        co_await Rest(rest, kLongestRelayRest);
+        co_await Backoff(rest, kMaxRelayBackoff);
       }
     }
   }
 }
 
 asio::awaitable<void>
-log_follower::FetchFromPeer(const member_info& aPeer)
+log_follower::FetchRecordsFromPeer(const member_info& aPeer)
 {
   const json message{ { "from", mFold.Next() }, { "most", mRelayRecords } };
-  const result<json> answer = co_await mPeers.Call(aPeer, "records", message, kPeerLimit);
+  const result<json> answer = co_await mPeers.Call(aPeer, "records", message, kRelayCallTimeout);
   if (!answer) {
     // A late answer still comes over the link: the next one is smaller.
-    mRelayRecords = std::max(mRelayRecords / 2, kFewestRelayRecords);
+    mRelayRecords = std::max(mRelayRecords / 2, kMinRelayRecords);
     co_return;
   }
-  mRelayRecords = std::min(mRelayRecords * 2, kRelayRecords);
+  mRelayRecords = std::min(mRelayRecords * 2, kMaxRelayRecords);
   if (!answer.value().contains("records")) {
     co_await FetchSnapshotFromPeer(aPeer);
     co_return;
@@ -258,9 +258,10 @@
 log_follower::FetchSnapshotFromPeer(const member_info& aPeer)
 {
   const result<json> answer =
-    co_await mPeers.CallApart(aPeer, "snapshot", json::object(), mSnapshotLimit);
+    co_await mPeers.CallOnOwnConnection(aPeer, "snapshot", json::object(), mSnapshotTimeout);
   const bool late = !answer && answer.error() == errc::eDeadlinePassed;
-  mSnapshotLimit = late ? std::min(mSnapshotLimit * 2, kLongestSnapshotLimit) : kFirstSnapshotLimit;
+  mSnapshotTimeout =
+    late ? std::min(mSnapshotTimeout * 2, kMaxSnapshotTimeout) : kMinSnapshotTimeout;
   if (!answer || !answer.value().contains("entries")) {
     co_return;
   }
@@ -268,7 +269,7 @@
     fold::FromSnapshot(answer.value().at("at").get<std::uint64_t>(),
                        answer.value().at("entries").get<std::vector<std::string>>());
   if (loaded) {
-    Adopt(std::move(loaded.value()));
+    ReplaceFold(std::move(loaded.value()));
   }
 }
 
@@ -279,12 +280,12 @@
   if (aFrom >= mFold.Next()) {
     return records;
   }
-  if (mKept.empty() || aFrom < mKept.front().mOffset) {
+  if (mRecentRecords.empty() || aFrom < mRecentRecords.front().mOffset) {
     return make_error_code(errc::eRetentionPassed);
   }
-  const std::size_t skip = aFrom - mKept.front().mOffset;
-  for (std::size_t index = skip; index < mKept.size() && records.size() < aMost; ++index) {
-    records.push_back(mKept[index]);
+  const std::size_t skip = aFrom - mRecentRecords.front().mOffset;
+  for (std::size_t index = skip; index < mRecentRecords.size() && records.size() < aMost; ++index) {
+    records.push_back(mRecentRecords[index]);
   }
   return records;
 }
@@ -301,7 +302,7 @@
     mBatch = std::make_shared<append_batch>(mIo);
   }
   while (!batch->mResult) {
-    co_await batch->mDone.Wait(kLongWait);
+    co_await batch->mDone.Wait(kIdleWait);
   }
   if (!*batch->mResult) {
     co_return *batch->mResult;
@@ -314,13 +315,13 @@
 {
   for (;;) {
     if (mBatch->mRecords.empty()) {
-      co_await mBatchReady.Wait(kLongWait);
+      co_await mBatchReady.Wait(kIdleWait);
       continue;
     }
-    co_await Sleep(kBatchTime);
+    co_await Sleep(kBatchDelay);
     const instant now = boot_clock_source().Now();
-    if (!mAppendShare.Take(now)) {
-      co_await Sleep(mAppendShare.WaitFor(now));
+    if (!mAppendLimiter.Take(now)) {
+      co_await Sleep(mAppendLimiter.WaitFor(now));
       continue;
     }
     const std::shared_ptr<append_batch> batch =
@@ -332,7 +333,7 @@
 
 template<typename Probe>
 asio::awaitable<result<void>>
-log_follower::AppendUntil(command aCommand, duration aLimit, Probe aProbe)
+log_follower::AppendUntilApplied(command aCommand, duration aLimit, Probe aProbe)
 {
   const boot_clock_source clock;
   const instant deadline = clock.Now() + aLimit;
@@ -344,7 +345,8 @@
     }
     ambiguous = true;
     // A repeat of the append folds once, so it's safe whatever became of the last one.
-    const instant until = appended ? deadline : std::min(deadline, clock.Now() + kAmbiguousWait);
+    const instant until =
+      appended ? deadline : std::min(deadline, clock.Now() + kAmbiguousAppendWait);
     while (!aProbe() && clock.Now() < until) {
       co_await mChanged.Wait(until - clock.Now());
     }
@@ -361,7 +363,7 @@
   const std::string writeId =
     std::visit([](const auto& aOne) { return WriteIdOf(aOne); }, aCommand);
   const auto seen = [this, writeId] { return mFold.OutcomeOf(writeId).has_value(); };
-  BOOST_OUTCOME_CO_TRY(co_await AppendUntil(std::move(aCommand), aLimit, seen));
+  BOOST_OUTCOME_CO_TRY(co_await AppendUntilApplied(std::move(aCommand), aLimit, seen));
   co_return *mFold.OutcomeOf(writeId);
 }
 
@@ -371,13 +373,13 @@
   const auto seen = [this, aKey] { return mFold.ClaimOf(aKey).has_value(); };
   if (!seen()) {
     const claim_command wanted{ aKey, aAttempt };
-    BOOST_OUTCOME_CO_TRY(co_await AppendUntil(wanted, aLimit, seen));
+    BOOST_OUTCOME_CO_TRY(co_await AppendUntilApplied(wanted, aLimit, seen));
   }
   co_return *mFold.ClaimOf(aKey);
 }
 
 asio::awaitable<void>
-log_follower::AppendLater(command aCommand)
+log_follower::AppendDetached(command aCommand)
 {
   co_await Append(aCommand);
 }
@@ -385,14 +387,14 @@
 void
 log_follower::Release(const std::string& aKey, attempt_id aAttempt)
 {
-  Spawn(mIo, AppendLater(release_command{ aKey, aAttempt }));
+  Spawn(mIo, AppendDetached(release_command{ aKey, aAttempt }));
 }
 
 asio::awaitable<void>
 log_follower::SnapshotLoop()
 {
   for (;;) {
-    co_await mChanged.Wait(kLongWait);
+    co_await mChanged.Wait(kIdleWait);
     const std::uint64_t covered = mFold.LastSnapshot();
     const auto due = [this] {
       return mFold.Next() > mFold.LastSnapshot() + mSettings.mSnapshotEvery;
@@ -407,7 +409,7 @@
     for (const auto& [incarnation, entry] : mMembers.Others()) {
       ahead += RendezvousRank(key, incarnation.mValue) > own ? 1 : 0;
     }
-    co_await Sleep(kSnapshotPause * ahead);
+    co_await Sleep(kSnapshotStagger * ahead);
     if (!due()) {
       continue;
     }
--- a/src/control/log_follower.h
+++ b/src/control/log_follower.h
@@ -86,36 +86,36 @@
   asio::awaitable<void> AppendLoop();
   asio::awaitable<void> SnapshotLoop();
   asio::awaitable<bool> LoadSnapshotFromLog();
-  asio::awaitable<void> Rest(duration& aRest, duration aLongest);
-  asio::awaitable<void> FetchFromPeer(const member_info& aPeer);
+  asio::awaitable<void> Backoff(duration& aDelay, duration aMaxDelay);
+  asio::awaitable<void> FetchRecordsFromPeer(const member_info& aPeer);
   asio::awaitable<void> FetchSnapshotFromPeer(const member_info& aPeer);
   asio::awaitable<result<std::uint64_t>> Append(const command& aCommand);
-  asio::awaitable<void> AppendLater(command aCommand);
+  asio::awaitable<void> AppendDetached(command aCommand);
   void ApplyAll(const std::vector<log_record>& aRecords);
-  void Adopt(fold aFold);
-  void NoteProgress();
+  void ReplaceFold(fold aFold);
+  void UpdateCaughtUp();
   template<typename Probe>
-  asio::awaitable<result<void>> AppendUntil(command aCommand, duration aLimit, Probe aProbe);
-
-  static constexpr std::size_t kMaxKept = 8192; ///< Records kept for other daemons.
-
-  asio::io_context& mIo;                ///< Runs the loops.
-  log_client mLog;                      ///< The platform's log.
-  follower_settings mSettings;          ///< Share of appends, snapshot distance.
-  member_table& mMembers;               ///< Says which daemons are ahead.
-  peer_directory& mPeers;               ///< Relays records.
-  fold mFold;                           ///< The state.
-  std::deque<log_record> mKept;         ///< Newest records, for relaying; without holes.
-  bool mLogReachable = false;           ///< The last read succeeded.
-  bool mLogHeadReached = false;         ///< The fold has reached the log's end once.
-  bool mCaughtUp = false;               ///< See CaughtUp(); once true it stays true.
-  wake_list mChanged;                   ///< Woken when records were applied.
-  std::function<void()> mOnApplied;     ///< Called when records were applied.
-  std::shared_ptr<append_batch> mBatch; ///< Takes records now.
-  wake_list mBatchReady;                ///< Woken when mBatch has its first record.
-  token_bucket mAppendShare;            ///< Share of the log's rate.
-  std::size_t mRelayRecords;            ///< Records of the next relay call.
-  duration mSnapshotLimit;              ///< For the next snapshot of a daemon to come.
+  asio::awaitable<result<void>> AppendUntilApplied(command aCommand, duration aLimit, Probe aProbe);
+
+  static constexpr std::size_t kMaxRecentRecords = 8192; ///< Records kept for other daemons.
+
+  asio::io_context& mIo;                 ///< Runs the loops.
+  log_client mLog;                       ///< The platform's log.
+  follower_settings mSettings;           ///< Share of appends, snapshot distance.
+  member_table& mMembers;                ///< Says which daemons are ahead.
+  peer_directory& mPeers;                ///< Relays records.
+  fold mFold;                            ///< The state.
+  std::deque<log_record> mRecentRecords; ///< Newest records, for relaying; without holes.
+  bool mLogReachable = false;            ///< The last read succeeded.
+  bool mLogHeadReached = false;          ///< The fold has reached the log's end once.
+  bool mCaughtUp = false;                ///< See CaughtUp(); once true it stays true.
+  wake_list mChanged;                    ///< Woken when records were applied.
+  std::function<void()> mOnApplied;      ///< Called when records were applied.
+  std::shared_ptr<append_batch> mBatch;  ///< Takes records now.
+  wake_list mBatchReady;                 ///< Woken when mBatch has its first record.
+  token_bucket mAppendLimiter;           ///< Share of the log's rate.
+  std::size_t mRelayRecords;             ///< Records of the next relay call.
+  duration mSnapshotTimeout;             ///< For the next snapshot of a daemon to come.
 };
 
 } // namespace dunehook
--- a/src/control/model_controller.cpp
+++ b/src/control/model_controller.cpp
@@ -15,47 +15,47 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kLookEvery = 500ms;
-constexpr duration kStateLimit = 500ms;
-constexpr duration kLoadLimit = 10s;
+constexpr duration kPollInterval = 500ms;
+constexpr duration kStateTimeout = 500ms;
+constexpr duration kLoadTimeout = 10s;
 /** Rest after a runner's failed load, doubled up to the longest: it may still be loading, and what
  * it reads from the weight store others wait for. */
-constexpr duration kFirstLoadRest = 1s;
-constexpr duration kLongestLoadRest = 30s;
+constexpr duration kMinLoadBackoff = 1s;
+constexpr duration kMaxLoadBackoff = 30s;
 
 } // namespace
 
 /** @return whether a runner isn't to be ordered yet. Another version doesn't wait for the rest. */
 bool
-model_controller::Rests(const load_key& aKey, std::uint64_t aFence) const
+model_controller::IsBackingOff(const load_key& aKey, std::uint64_t aFence) const
 {
-  const auto found = mRests.find(aKey);
-  return found != mRests.end() && found->second.mFence == aFence &&
+  const auto found = mBackoffs.find(aKey);
+  return found != mBackoffs.end() && found->second.mFence == aFence &&
          boot_clock_source().Now() < found->second.mUntil;
 }
 
 void
-model_controller::NoteLoad(const load_key& aKey, std::uint64_t aFence, bool aLoaded)
+model_controller::RecordLoadResult(const load_key& aKey, std::uint64_t aFence, bool aLoaded)
 {
   if (aLoaded) {
-    mRests.erase(aKey);
+    mBackoffs.erase(aKey);
     return;
   }
-  load_rest& rest = mRests[aKey];
-  const bool again = rest.mFence == aFence;
-  rest.mFence = aFence;
-  rest.mRest = again ? std::min(rest.mRest * 2, kLongestLoadRest) : kFirstLoadRest;
-  rest.mUntil = boot_clock_source().Now() + rest.mRest;
+  load_backoff& backoff = mBackoffs[aKey];
+  const bool again = backoff.mFence == aFence;
+  backoff.mFence = aFence;
+  backoff.mDelay = again ? std::min(backoff.mDelay * 2, kMaxLoadBackoff) : kMinLoadBackoff;
+  backoff.mUntil = boot_clock_source().Now() + backoff.mDelay;
 }
 
 asio::awaitable<void>
 model_controller::LoadLoop()
 {
   for (;;) {
-    co_await Sleep(kLookEvery);
+    co_await Sleep(kPollInterval);
     const instant now = boot_clock_source().Now();
-    std::erase_if(mRests, [now](const auto& aRow) { // Of runners that are gone, most of all.
-      return now - aRow.second.mUntil > kLongestLoadRest;
+    std::erase_if(mBackoffs, [now](const auto& aRow) { // Of runners that are gone, most of all.
+      return now - aRow.second.mUntil > kMaxLoadBackoff;
     });
     std::vector<resource> wanted;
     for (const auto& [key, one] : mLog.State().Resources()) {
@@ -76,7 +76,7 @@
 {
   const auto& spec = std::get<model_version_spec>(aResource.mSpec);
   std::vector<host> hosts;
-  for (const host* const one : mHosts.LiveOf(spec.mPool)) {
+  for (const host* const one : mHosts.AvailableHostsOf(spec.mPool)) {
     hosts.push_back(*one);
   }
   for (const host& one : hosts) {
@@ -90,11 +90,11 @@
 model_controller::LoadRunner(host aHost, resource aResource)
 {
   const load_key key{ aHost.mName, aResource.mKey };
-  if (Rests(key, aResource.mVersion)) {
+  if (IsBackingOff(key, aResource.mVersion)) {
     co_return false;
   }
   const auto& spec = std::get<model_version_spec>(aResource.mSpec);
-  const result<json> state = co_await mEngines.Get(aHost.mAddress, "/v1/state", kStateLimit);
+  const result<json> state = co_await mEngines.Get(aHost.mAddress, "/v1/state", kStateTimeout);
   if (!state) {
     co_return false;
   }
@@ -108,8 +108,8 @@
                     { "model", spec.mModel },
                     { "version", spec.mVersion },
                     { "weights", spec.mWeights } };
-  const result<void> done = co_await mEngines.Order(aHost.mAddress, order, kLoadLimit);
-  NoteLoad(key, aResource.mVersion, done.has_value());
+  const result<void> done = co_await mEngines.Order(aHost.mAddress, order, kLoadTimeout);
+  RecordLoadResult(key, aResource.mVersion, done.has_value());
   LogEvent(log_level::eInfo,
            "model_order",
            { { "runner", aHost.mName },
--- a/src/control/model_controller.h
+++ b/src/control/model_controller.h
@@ -37,28 +37,28 @@
 
 private:
   /** Rest after a load that failed. */
-  struct load_rest
+  struct load_backoff
   {
     std::uint64_t mFence = 0; ///< Version of the resource that was ordered.
-    duration mRest{ 0 };      ///< How long the rest is.
+    duration mDelay{ 0 };     ///< How long the rest is.
     instant mUntil{ 0 };      ///< Its end.
   };
 
   /** A runner by its name, and what is to be loaded on it. */
   using load_key = std::pair<std::string, resource_key>;
 
-  bool Rests(const load_key& aKey, std::uint64_t aFence) const;
-  void NoteLoad(const load_key& aKey, std::uint64_t aFence, bool aLoaded);
+  bool IsBackingOff(const load_key& aKey, std::uint64_t aFence) const;
+  void RecordLoadResult(const load_key& aKey, std::uint64_t aFence, bool aLoaded);
   asio::awaitable<void> LoadLoop();
   asio::awaitable<void> LoadPool(resource aResource);
   asio::awaitable<bool> LoadRunner(host aHost, resource aResource);
 
-  asio::io_context& mIo;                ///< Runs the loop.
-  const log_follower& mLog;             ///< Configuration.
-  const host_directory& mHosts;         ///< Runners.
-  const member_table& mMembers;         ///< Says who owns a pool.
-  engine_client& mEngines;              ///< Carries orders.
-  std::map<load_key, load_rest> mRests; ///< Loads that failed the last time.
+  asio::io_context& mIo;                      ///< Runs the loop.
+  const log_follower& mLog;                   ///< Configuration.
+  const host_directory& mHosts;               ///< Runners.
+  const member_table& mMembers;               ///< Says who owns a pool.
+  engine_client& mEngines;                    ///< Carries orders.
+  std::map<load_key, load_backoff> mBackoffs; ///< Loads that failed the last time.
 };
 
 } // namespace dunehook
--- a/src/control/owner_router.cpp
+++ b/src/control/owner_router.cpp
@@ -11,9 +11,9 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kEventLimit = 250ms; ///< Time limit of an event to an owner.
-constexpr duration kWatchEvery = 150ms; ///< Time between looks for changes of owners.
-constexpr int kTries = 4;               ///< Owners tried for one event.
+constexpr duration kEventTimeout = 250ms;      ///< Time limit of an event to an owner.
+constexpr duration kOwnerPollInterval = 150ms; ///< Time between looks for changes of owners.
+constexpr int kMaxSendTries = 4;               ///< Owners tried for one event.
 
 } // namespace
 
@@ -22,12 +22,12 @@
 {
   const attempt_id attempt = AttemptOf(aEvent);
   // An owner that hears of an attempt by its progress only doesn't know it.
-  const bool introduces = std::holds_alternative<request_arrived>(aEvent) ||
-                          std::holds_alternative<request_adopted>(aEvent);
-  for (int tries = 0; tries < kTries; ++tries) {
+  const bool announcesAttempt = std::holds_alternative<request_arrived>(aEvent) ||
+                                std::holds_alternative<request_adopted>(aEvent);
+  for (int tries = 0; tries < kMaxSendTries; ++tries) {
     const member_info owner = mMembers.OwnerOf(ToText(aKey));
     attempt_entry* const entry = mAttempts.Find(attempt);
-    if (entry != nullptr && introduces) {
+    if (entry != nullptr && announcesAttempt) {
       entry->mOwner = owner.mIncarnation;
     }
     if (owner.mIncarnation == mMembers.Self().mIncarnation) {
@@ -38,7 +38,7 @@
                         { "decode", aKey.mDecodePool },
                         { "link", aKey.mLink },
                         { "event", EventToJson(aEvent) } };
-    if (co_await mPeers.Call(owner, "event", message, kEventLimit)) {
+    if (co_await mPeers.Call(owner, "event", message, kEventTimeout)) {
       co_return boost::outcome_v2::success();
     }
   }
@@ -49,7 +49,7 @@
 owner_router::WatchLoop()
 {
   for (;;) {
-    co_await Sleep(kWatchEvery);
+    co_await Sleep(kOwnerPollInterval);
     std::vector<attempt_id> moved;
     for (const auto& [attempt, entry] : mAttempts.Entries()) {
       const incarnation_id owner = mMembers.OwnerOf(ToText(entry.mCell)).mIncarnation;
@@ -58,13 +58,13 @@
       }
     }
     for (const attempt_id& attempt : moved) {
-      co_await Reintroduce(attempt);
+      co_await AnnounceToNewOwner(attempt);
     }
   }
 }
 
 asio::awaitable<void>
-owner_router::Reintroduce(attempt_id aAttempt)
+owner_router::AnnounceToNewOwner(attempt_id aAttempt)
 {
   const attempt_entry* const entry = mAttempts.Find(aAttempt);
   if (entry == nullptr) {
@@ -77,11 +77,11 @@
   }
   const request_adopted adopted{ entry->mRequest, entry->mStage, entry->mPrefill, entry->mDecode };
   co_await Send(cell, adopted);
-  co_await TellMissed(cell, aAttempt, adopted.mStage);
+  co_await SendMissedChanges(cell, aAttempt, adopted.mStage);
 }
 
 asio::awaitable<void>
-owner_router::TellMissed(cell_key aKey, attempt_id aAttempt, request_stage aTold)
+owner_router::SendMissedChanges(cell_key aKey, attempt_id aAttempt, request_stage aReportedStage)
 {
   const attempt_entry* const entry = mAttempts.Find(aAttempt);
   const request_cancelled cancelled{ aAttempt };
@@ -89,14 +89,14 @@
     co_await Send(aKey, cancelled);
     co_return;
   }
-  if (aTold != request_stage::ePrefilling) {
+  if (aReportedStage != request_stage::ePrefilling) {
     co_return; // A transfer begins again, and a stream needs no order.
   }
   if (entry->mStage == request_stage::eReady) {
-    co_await Reintroduce(aAttempt);
+    co_await AnnounceToNewOwner(aAttempt);
   } else if (entry->mStage == request_stage::eWaiting) {
     co_await Send(aKey, cancelled); // Else it takes the request for one that it has.
-    co_await Reintroduce(aAttempt);
+    co_await AnnounceToNewOwner(aAttempt);
   }
 }
 
--- a/src/control/owner_router.h
+++ b/src/control/owner_router.h
@@ -36,15 +36,17 @@
   asio::awaitable<result<void>> Send(cell_key aKey, decide_event aEvent);
 
   /** @return the cells that this daemon owns. */
-  const cell_owner& Owned() const { return mOwner; }
+  const cell_owner& OwnedCells() const { return mOwner; }
 
 private:
   asio::awaitable<void> WatchLoop();
-  asio::awaitable<void> Reintroduce(attempt_id aAttempt);
+  asio::awaitable<void> AnnounceToNewOwner(attempt_id aAttempt);
   /** Tells an owner what has become of an attempt since it was told of it: what was sent meanwhile
    * may have come before, and is dropped for an attempt that isn't known.
-   * @param aTold stage that it was told. */
-  asio::awaitable<void> TellMissed(cell_key aKey, attempt_id aAttempt, request_stage aTold);
+   * @param aReportedStage stage that it was told. */
+  asio::awaitable<void> SendMissedChanges(cell_key aKey,
+                                          attempt_id aAttempt,
+                                          request_stage aReportedStage);
 
   asio::io_context& mIo;       ///< Runs the loop.
   member_table& mMembers;      ///< Says who owns.
--- a/src/control/peer_directory.cpp
+++ b/src/control/peer_directory.cpp
@@ -19,31 +19,31 @@
     slot = std::make_shared<peer_link>(mIo, aMember.mAddress, mSecret);
   }
   const std::shared_ptr<peer_link> link = slot;
-  co_return co_await CallBy(
+  co_return co_await CallOverLink(
     link, aMember.mIncarnation, std::move(aMethod), std::move(aMessage), aLimit);
 }
 
 asio::awaitable<result<nlohmann::json>>
-peer_directory::CallApart(member_info aMember,
-                          std::string aMethod,
-                          nlohmann::json aMessage,
-                          duration aLimit)
+peer_directory::CallOnOwnConnection(member_info aMember,
+                                    std::string aMethod,
+                                    nlohmann::json aMessage,
+                                    duration aLimit)
 {
   const auto link = std::make_shared<peer_link>(mIo, aMember.mAddress, mSecret);
-  const auto place = mApart.emplace(aMember.mAddress, link);
-  result<nlohmann::json> answer =
-    co_await CallBy(link, aMember.mIncarnation, std::move(aMethod), std::move(aMessage), aLimit);
-  mApart.erase(place);
+  const auto place = mSingleCallLinks.emplace(aMember.mAddress, link);
+  result<nlohmann::json> answer = co_await CallOverLink(
+    link, aMember.mIncarnation, std::move(aMethod), std::move(aMessage), aLimit);
+  mSingleCallLinks.erase(place);
   link->Close();
   co_return answer;
 }
 
 asio::awaitable<result<nlohmann::json>>
-peer_directory::CallBy(std::shared_ptr<peer_link> aLink,
-                       incarnation_id aMember,
-                       std::string aMethod,
-                       nlohmann::json aMessage,
-                       duration aLimit)
+peer_directory::CallOverLink(std::shared_ptr<peer_link> aLink,
+                             incarnation_id aMember,
+                             std::string aMethod,
+                             nlohmann::json aMessage,
+                             duration aLimit)
 {
   result<nlohmann::json> answer =
     co_await aLink->Call(std::move(aMethod), std::move(aMessage), aLimit);
@@ -54,14 +54,14 @@
 }
 
 void
-peer_directory::Drop(const member_info& aMember)
+peer_directory::CloseLinks(const member_info& aMember)
 {
   const auto found = mLinks.find(aMember.mAddress);
   if (found != mLinks.end()) {
     found->second->Close();
     mLinks.erase(found);
   }
-  const auto [first, last] = mApart.equal_range(aMember.mAddress);
+  const auto [first, last] = mSingleCallLinks.equal_range(aMember.mAddress);
   std::for_each(first, last, [](const auto& aRow) { aRow.second->Close(); });
 }
 
--- a/src/control/peer_directory.h
+++ b/src/control/peer_directory.h
@@ -34,26 +34,26 @@
    * Calls a method over a connection of its own that ends with the call: for an answer so large
    * that other calls would wait behind it, and that mustn't come on after the limit.
    */
-  asio::awaitable<result<nlohmann::json>> CallApart(member_info aMember,
-                                                    std::string aMethod,
-                                                    nlohmann::json aMessage,
-                                                    duration aLimit);
+  asio::awaitable<result<nlohmann::json>> CallOnOwnConnection(member_info aMember,
+                                                              std::string aMethod,
+                                                              nlohmann::json aMessage,
+                                                              duration aLimit);
 
   /** Ends the calls to a member that is gone, and forgets the link to it. */
-  void Drop(const member_info& aMember);
+  void CloseLinks(const member_info& aMember);
 
 private:
-  asio::awaitable<result<nlohmann::json>> CallBy(std::shared_ptr<peer_link> aLink,
-                                                 incarnation_id aMember,
-                                                 std::string aMethod,
-                                                 nlohmann::json aMessage,
-                                                 duration aLimit);
-
-  asio::io_context& mIo;                                           ///< Runs the links.
-  member_table& mMembers;                                          ///< Told of suspicions.
-  std::string mSecret;                                             ///< Common secret.
-  std::unordered_map<endpoint, std::shared_ptr<peer_link>> mLinks; ///< By address.
-  std::multimap<endpoint, std::shared_ptr<peer_link>> mApart;      ///< Links of one call each.
+  asio::awaitable<result<nlohmann::json>> CallOverLink(std::shared_ptr<peer_link> aLink,
+                                                       incarnation_id aMember,
+                                                       std::string aMethod,
+                                                       nlohmann::json aMessage,
+                                                       duration aLimit);
+
+  asio::io_context& mIo;                                                ///< Runs the links.
+  member_table& mMembers;                                               ///< Told of suspicions.
+  std::string mSecret;                                                  ///< Common secret.
+  std::unordered_map<endpoint, std::shared_ptr<peer_link>> mLinks;      ///< By address.
+  std::multimap<endpoint, std::shared_ptr<peer_link>> mSingleCallLinks; ///< Links of one call each.
 };
 
 } // namespace dunehook
--- a/src/daemon/router.cpp
+++ b/src/daemon/router.cpp
@@ -141,12 +141,12 @@
     mMembers.AddSeed(seed);
   }
   mHosts.OnChanged([this] {
-    for (const host* const one : mHosts.LiveOf(std::string(kRouterPool))) {
+    for (const host* const one : mHosts.AvailableHostsOf(std::string(kRouterPool))) {
       mMembers.AddSeed(one->mAddress);
     }
-    mOwner.Sync();
+    mOwner.SyncAllCells();
   });
-  mLog.OnApplied([this] { mOwner.Sync(); });
+  mLog.OnApplied([this] { mOwner.SyncAllCells(); });
   mLog.Start();
   mHosts.Start();
   mOwner.Start();
@@ -229,8 +229,8 @@
     LogEvent(log_level::eWarning,
              "member_gone",
              { { "name", gone.mName }, { "incarnation", ToText(gone.mIncarnation) } });
-    mPeers.Drop(gone);
-    mOwner.NoteGone(gone.mIncarnation);
+    mPeers.CloseLinks(gone);
+    mOwner.HandleDaemonGone(gone.mIncarnation);
   }
 }
 
@@ -269,7 +269,7 @@
   const result<addressed_order> order = OrderFromJson(aMessage);
   attempt_entry* const entry = order ? mAttempts.Find(AttemptOf(order.value().mOrder)) : nullptr;
   if (entry != nullptr) {
-    entry->mDeliver(order.value());
+    entry->mOnOrder(order.value());
   }
   return json{ { "taken", entry != nullptr } }.dump();
 }
@@ -316,7 +316,7 @@
   json answer = json::object();
   const result<attempt_id> attempt = ParseAttempt(aMessage.value("attempt", std::string()));
   if (attempt) {
-    const auto older = mKeys.TakeOver(aMessage.value("key", std::string()), attempt.value());
+    const auto older = mKeys.ReplaceNewest(aMessage.value("key", std::string()), attempt.value());
     if (older) {
       answer["older"] = ToText(*older);
     }
@@ -330,7 +330,7 @@
   const result<attempt_id> attempt = ParseAttempt(aMessage.value("attempt", std::string()));
   attempt_entry* const entry = attempt ? mAttempts.Find(attempt.value()) : nullptr;
   if (entry != nullptr) {
-    entry->mEnd();
+    entry->mOnSuperseded();
   }
   return json{ { "ended", entry != nullptr } }.dump();
 }
