--- a/src/control/attempt_registry.h
+++ b/src/control/attempt_registry.h
@@ -1,7 +1,7 @@
 /**
  * @file attempt_registry.h
- * The attempts that this daemon's frontends have under way: where orders for them go, and what a
- * new owner of their cell has to be told.
+ * The attempts in progress at this daemon's frontends: who receives their orders, and the state
+ * that is sent to a new owner of their cell.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace dunehook {
 
-/** Names a cell: one pair of pools and the link between them. */
+/** Identifies a cell: a prefill pool, a decode pool and the link between them. */
 struct cell_key
 {
   std::string mPrefillPool; ///< Pool that reads prompts.
@@ -23,21 +23,21 @@
   auto operator<=>(const cell_key&) const = default;
 };
 
-/** @return the text whose rendezvous rank decides who owns the cell. */
+/** @return the key text that rendezvous hashing uses to choose the cell's owner. */
 std::string
 ToText(const cell_key& aKey);
 
-/** An attempt under way. */
+/** An attempt in progress. */
 struct attempt_entry
 {
-  cell_key mCell;                                       ///< Its cell.
-  request_arrived mRequest;                             ///< What the owner was told.
-  request_stage mStage = request_stage::eWaiting;       ///< How far it has come.
-  engine_id mPrefill;                                   ///< Prefill engine, if any.
-  engine_id mDecode;                                    ///< Decode engine, if any.
-  incarnation_id mOwner;                                ///< The owner that was told last.
-  std::function<void(const addressed_order&)> mOnOrder; ///< Takes orders.
-  std::function<void()> mOnSuperseded;                  ///< Ends the attempt for a newer one.
+  cell_key mCell;                                 ///< Cell that the attempt belongs to.
+  request_arrived mRequest;                       ///< Request as it was sent to the owner.
+  request_stage mStage = request_stage::eWaiting; ///< Current stage.
+  engine_id mPrefill;                             ///< Prefill engine, if any.
+  engine_id mDecode;                              ///< Decode engine, if any.
+  incarnation_id mOwner;                          ///< Owner that the attempt was last sent to.
+  std::function<void(const addressed_order&)> mOnOrder; ///< Receives the owner's orders.
+  std::function<void()> mOnSuperseded; ///< Ends the attempt because a newer one replaces it.
 };
 
 /** Attempts by id. */
--- a/src/control/cell_limits.h
+++ b/src/control/cell_limits.h
@@ -1,6 +1,6 @@
 /**
  * @file cell_limits.h
- * Time limits of the owner role that its parts share.
+ * Poll interval and timeouts shared by the source files of the owner role.
  */
 #pragma once
 
@@ -8,11 +8,11 @@
 
 namespace dunehook {
 
-/** Rest between looks at an engine. */
+/** Time between two polls of an engine that answers. */
 inline constexpr duration kEnginePollInterval = std::chrono::milliseconds(250);
-/** Time limit of a call to an engine. */
+/** Timeout of a call to an engine. */
 inline constexpr duration kEngineCallTimeout = std::chrono::milliseconds(500);
-/** Time limit of an order to a frontend, or of a question to it. */
+/** Timeout of an order or a query sent to a frontend. */
 inline constexpr duration kFrontendCallTimeout = std::chrono::milliseconds(300);
 
 } // namespace dunehook
--- a/src/control/cell_owner.cpp
+++ b/src/control/cell_owner.cpp
@@ -1,6 +1,6 @@
 /**
  * @file cell_owner.cpp
- * The owner role.
+ * The owner role: cell lifecycle, synchronisation with the configuration, and delivery of orders.
  */
 #include "control/cell_owner.h"
 
@@ -18,13 +18,15 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kTickInterval = 10ms; ///< Time limits take effect this late at most.
-/** An owner that has just started hears of a frontend some ms after the frontend has heard it and
- * has sent its first events. Orders wait for the frontend's heartbeat so long, several times
- * between heartbeats; a dropped one leaves its call without an answer. */
+constexpr duration kTickInterval =
+  10ms; ///< Upper bound of the delay with which time limits take effect.
+/** How long an order waits for the first heartbeat of its frontend; several heartbeat intervals. An
+ * owner that has just started receives the frontend's heartbeat some ms after the frontend has sent
+ * its first events. Dropping the order would leave the call without an answer. */
 constexpr duration kFrontendHeartbeatTimeout = 1s;
-constexpr duration kFrontendPollInterval = 20ms; ///< Time between looks for it.
-constexpr duration kCellDropDelay = 2s; ///< A cell that ranks elsewhere is dropped after this.
+constexpr duration kFrontendPollInterval = 20ms; ///< Time between checks for that heartbeat.
+constexpr duration kCellDropDelay =
+  2s; ///< A cell that another daemon has owned for this long is dropped.
 constexpr int kMaxOrderTries = 3;
 constexpr int kMaxCancelTries = 5;
 
@@ -202,7 +204,7 @@
   for (int tries = 0; tries < kMaxOrderTries; ++tries) {
     const member_info* const member = mMembers.Find(frontend);
     if (member == nullptr) {
-      co_return; // Its end frees what it had.
+      co_return; // The frontend is gone: HandleDaemonGone() releases its attempts.
     }
     const result<json> answer =
       co_await mPeers.Call(member_info(*member), "order", message, kFrontendCallTimeout);
@@ -258,7 +260,7 @@
 {
   for (;;) {
     co_await Sleep(kEnginePollInterval);
-    // A cell whose owner ended is taken over here even before a frontend asks for it.
+    // Takes over a cell whose owner ended even before a frontend sends an event for it.
     for (const auto& [key, one] : mLog.State().Resources()) {
       const auto* const route = std::get_if<route_spec>(&one.mSpec);
       if (route == nullptr || route->mModel.empty()) {
--- a/src/control/cell_owner.h
+++ b/src/control/cell_owner.h
@@ -1,9 +1,9 @@
 /**
  * @file cell_owner.h
- * The owner role: runs the decision cores of the cells that this daemon owns, gives their orders
- * to the frontends, and frees what engines hold for attempts that nobody waits for.
- * Ownership is a hint: an engine's own refusal is the truth, so two owners for a moment cost
- * refusals, never a wrong answer.
+ * The owner role: runs the placement cores of the cells that this daemon owns, sends their orders
+ * to the frontends, and frees holds at engines for attempts that no caller waits for. Ownership is
+ * only a hint: engines refuse work that doesn't fit. If two daemons own a cell for a moment, this
+ * causes refusals, but never a wrong answer.
  */
 #pragma once
 
@@ -19,7 +19,7 @@
 
 namespace dunehook {
 
-/** Owner of cells. */
+/** Runs the placement cores of the cells that this daemon owns. */
 class cell_owner
 {
 public:
@@ -40,15 +40,15 @@
   {
   }
 
-  /** Starts ticking and watching engines. */
+  /** Starts the tick loop and the polling of engines. */
   void Start();
-  /** Takes an event of a frontend. */
+  /** Processes an event that a frontend sent. */
   void Handle(const cell_key& aKey, const decide_event& aEvent);
-  /** Frees what a daemon run that ended had under way. */
+  /** Releases all attempts of a daemon process that ended. */
   void HandleDaemonGone(incarnation_id aIncarnation);
-  /** Brings every cell in line with the configuration and the host list. */
+  /** Updates the settings and engines of every cell from the configuration and the host list. */
   void SyncAllCells();
-  /** @return totals over the owned cells, those given up included. */
+  /** @return counters summed over the owned cells and those that were dropped. */
   cell_counters Totals() const;
   std::size_t CellCount() const { return mCells.size(); }
 
@@ -61,11 +61,12 @@
       : mCore(aSettings, aSeed)
     {
     }
-    core_type mCore;         ///< Decides.
+    core_type mCore;         ///< Makes the placement decisions.
     instant mLastOwned{ 0 }; ///< When this daemon last ranked first for the cell.
-    /** Holds at engines that the core doesn't know, with when they were first seen. */
+    /** Holds at engines for attempts that the core doesn't know, with the time first seen. */
     std::map<std::pair<engine_id, attempt_id>, instant> mUnknownHolds;
-    std::map<engine_id, std::uint64_t> mNextCacheEvent; ///< Next cache event wanted, by engine.
+    std::map<engine_id, std::uint64_t>
+      mNextCacheEvent; ///< Sequence number of the next cache event to read, by engine.
   };
 
   void SetTargets(request_arrived& aRequest) const;
@@ -79,9 +80,9 @@
   asio::awaitable<void> CancelAt(endpoint aEngine, attempt_id aAttempt);
   asio::awaitable<void> TickLoop();
   asio::awaitable<void> WatchLoop();
-  /** Something done at an engine again and again. @return whether the engine answered. */
+  /** One poll of an engine. @return whether the engine answered. */
   using engine_poll = asio::awaitable<bool> (cell_owner::*)(engine_id aEngine);
-  /** Attempts that a cell doesn't know, with how long they have been seen. */
+  /** Attempts that hold memory but that no cell knows, with the time since first seen. */
   using unknown_hold_ages = std::map<attempt_id, duration>;
 
   void StartEnginePolling();
@@ -112,9 +113,9 @@
   engine_client& mEngines;                                ///< Carries cancels.
   attempt_registry& mAttempts;                            ///< Attempts of this daemon.
   std::map<cell_key, std::unique_ptr<cell_entry>> mCells; ///< Owned cells.
-  cell_counters mDroppedCellTotals;                       ///< Totals of cells given up.
-  std::set<engine_id> mHoldsPolled;                       ///< Engines whose holds are looked at.
-  std::set<engine_id> mCachePolled;                       ///< Engines whose cache is looked at.
+  cell_counters mDroppedCellTotals;                       ///< Counters of dropped cells.
+  std::set<engine_id> mHoldsPolled;                       ///< Engines whose holds are polled.
+  std::set<engine_id> mCachePolled;                       ///< Engines whose cache is polled.
   std::set<engine_id> mFreeing;                           ///< Engines whose holds are being freed.
 };
 
--- a/src/control/cell_watch.cpp
+++ b/src/control/cell_watch.cpp
@@ -1,6 +1,7 @@
 /**
  * @file cell_watch.cpp
- * The owner role's looks at engines: what they hold, what they have cached, and holds to free.
+ * Polling of engines by the owner role: their holds, their cache events, and freeing of abandoned
+ * holds.
  */
 #include "control/cell_owner.h"
 
@@ -18,12 +19,13 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-/** Longest rest after looks that an engine didn't answer. With kEngineCallTimeout it stays below
+/** Longest pause after polls that an engine didn't answer. With kEngineCallTimeout it stays below
  * kFailedTime, for which a failed look keeps work away from the engine: an engine that is
  * unresponsive all the while gets none. */
 constexpr duration kMaxEnginePollInterval = 450ms;
 static_assert(kMaxEnginePollInterval + kEngineCallTimeout < kFailedTime);
-constexpr duration kUnknownHoldGracePeriod = 1s; ///< A hold unknown here may be news under way.
+constexpr duration kUnknownHoldGracePeriod =
+  1s; ///< The event that announces an unknown hold may still be in flight.
 
 } // namespace
 
@@ -55,9 +57,9 @@
 }
 
 /**
- * Does something at an engine, once at a time and for all cells that have the engine, until none
- * has it. A look begun by a timer beside one that hasn't ended loads an engine the more the slower
- * it is.
+ * Polls an engine on behalf of all cells that contain it, until none does. Only one poll runs at a
+ * time: starting polls by a timer while others are pending would load an engine more the slower it
+ * is.
  */
 asio::awaitable<void>
 cell_owner::PollEngine(engine_id aEngine, engine_poll aPoll, std::set<engine_id>& aPolled)
@@ -76,7 +78,7 @@
 {
   const host* const at = mHosts.Find(aEngine);
   if (at == nullptr) {
-    co_return true; // It's about to leave the cells.
+    co_return true; // The engine is no longer listed; SyncAllCells() removes it.
   }
   const endpoint address = at->mAddress;
   const result<std::vector<engine_hold>> holds =
@@ -98,7 +100,8 @@
   co_return holds.has_value();
 }
 
-/** Tells a cell what its engine holds. @param aUnknownHolds takes the attempts it doesn't know. */
+/** Reports an engine's holds to a cell. @param aUnknownHolds receives the attempts it doesn't know.
+ */
 void
 cell_owner::ReportHolds(cell_entry& aCell,
                         engine_id aEngine,
@@ -126,9 +129,9 @@
 }
 
 /**
- * Frees those of an engine's unknownHolds that nobody waits for, one after the other. One that
- * isn't freed is listed by a later look and tried again then. A frontend that doesn't answer is
- * asked once, not for each of its attempts.
+ * Frees the unknown holds of an engine that no caller waits for, one after the other. A hold that
+ * couldn't be freed is found again by a later poll. A frontend that doesn't answer is asked only
+ * once, not for each of its attempts.
  */
 asio::awaitable<void>
 cell_owner::FreeAbandonedHolds(engine_id aEngine,
@@ -153,7 +156,7 @@
   mFreeing.erase(aEngine);
 }
 
-/** @return whether nobody waits for an attempt, or why its frontend didn't say. */
+/** @return whether no caller waits for an attempt, or the error of the query to its frontend. */
 asio::awaitable<result<bool>>
 cell_owner::IsAbandoned(attempt_id aAttempt, duration aAge)
 {
@@ -184,7 +187,7 @@
 {
   const host* const at = mHosts.Find(aEngine);
   if (at == nullptr) {
-    co_return true; // It's about to leave the cells.
+    co_return true; // The engine is no longer listed; SyncAllCells() removes it.
   }
   const endpoint address = at->mAddress;
   std::vector<cell_key> cells;
@@ -201,7 +204,8 @@
   co_return true;
 }
 
-/** Takes an engine's next cache events into a cell. @return whether the engine answered. */
+/** Reads an engine's next cache events and applies them to a cell. @return whether the engine
+ * answered. */
 asio::awaitable<bool>
 cell_owner::ReadCacheEvents(cell_key aKey, engine_id aEngine, endpoint aAddress)
 {
@@ -217,7 +221,7 @@
   }
   const auto found = mCells.find(aKey);
   if (found == mCells.end() || found->second->mNextCacheEvent[aEngine] != from) {
-    co_return true; // Given up, or taken anew meanwhile: a new cell needs all events.
+    co_return true; // Dropped or re-created meanwhile: a new cell needs all events from the first.
   }
   for (const json& event : events.value().value("events", json::array())) {
     ApplyEvent(*found->second,
--- a/src/control/host_directory.cpp
+++ b/src/control/host_directory.cpp
@@ -1,6 +1,6 @@
 /**
  * @file host_directory.cpp
- * Reading of the host list.
+ * Periodic reading of the host list.
  */
 #include "control/host_directory.h"
 
--- a/src/control/host_directory.h
+++ b/src/control/host_directory.h
@@ -1,7 +1,7 @@
 /**
  * @file host_directory.h
- * The platform's host list as this daemon last read it. It lags; a runner's own refusal is the
- * truth. While the list can't be read the last one stays in use.
+ * The platform's host list as this daemon last read it. It lags behind, so a runner may still
+ * refuse work. While the list can't be read, the last one stays in use.
  */
 #pragma once
 
@@ -21,7 +21,7 @@
   return { HashBytes(aName) | 1U };
 }
 
-/** The hosts known now. */
+/** Reads the host list periodically and finds hosts by id and pool. */
 class host_directory
 {
 public:
@@ -41,7 +41,7 @@
   const std::vector<host>& Hosts() const { return mHosts; }
   /** @return a runner by id, or null. */
   const host* Find(engine_id aId) const;
-  /** @return the live, not leaving hosts of a pool. */
+  /** @return the listed hosts of a pool that aren't leaving. */
   std::vector<const host*> AvailableHostsOf(const std::string& aPool) const;
   /** @return whether the list was read at least once. */
   bool Ready() const { return mReady; }
@@ -57,7 +57,7 @@
   asio::io_context& mIo;                            ///< Runs the loop.
   host_list_client mClient;                         ///< The platform's list.
   duration mEvery;                                  ///< Time between reads.
-  std::vector<host> mHosts;                         ///< As last read.
+  std::vector<host> mHosts;                         ///< Hosts of the last successful read.
   std::unordered_map<engine_id, std::size_t> mById; ///< Index in mHosts.
   std::function<void()> mOnChanged;                 ///< Called after a change.
   bool mReady = false;                              ///< Read at least once.
--- a/src/control/key_registry.cpp
+++ b/src/control/key_registry.cpp
@@ -1,6 +1,6 @@
 /**
  * @file key_registry.cpp
- * JSON of claimed calls.
+ * JSON encoding and decoding of claimed calls.
  */
 #include "control/key_registry.h"
 
--- a/src/control/key_registry.h
+++ b/src/control/key_registry.h
@@ -1,7 +1,7 @@
 /**
  * @file key_registry.h
- * Idempotency keys as this daemon knows them: what became of calls that it claimed, and which
- * attempt is the newest for keys of repeatable calls that it owns by rank.
+ * Idempotency keys known to this daemon: the state of calls that it claimed, and the newest attempt
+ * for each key of a repeatable call that it owns by rendezvous rank.
  */
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace dunehook {
 
-/** How far a claimed call has come. */
+/** State of a claimed call. */
 enum class keyed_state
 {
   eRunning,   ///< Claimed; it may be sent or was sent, and no answer came yet.
@@ -28,13 +28,13 @@
 /** A claimed call. */
 struct keyed_call
 {
-  attempt_id mAttempt;                        ///< The call.
-  keyed_state mState = keyed_state::eRunning; ///< How far it has come.
+  attempt_id mAttempt;                        ///< Attempt that claimed the key.
+  keyed_state mState = keyed_state::eRunning; ///< State of the call.
   unsigned mStatus = 0;                       ///< Status of the answer; if done.
   std::string mBody;                          ///< Body of the answer; if done.
 };
 
-/** A table with a bound: the oldest entries go first. */
+/** A table of bounded size that evicts the oldest entries first. */
 template<typename Value>
 class bounded_table
 {
@@ -64,18 +64,18 @@
   }
 
 private:
-  std::size_t mMaxEntries;                        ///< Most entries.
+  std::size_t mMaxEntries;                        ///< Size limit.
   std::unordered_map<std::string, Value> mValues; ///< By key.
   std::deque<std::string> mOrder;                 ///< Keys of mValues, oldest first.
 };
 
-/** Keys known here. */
+/** Idempotency keys known to this daemon. */
 class key_registry
 {
 public:
   bounded_table<keyed_call>& Calls() { return mCalls; }
 
-  /** @return the attempt that was the newest for a key, and makes @p aAttempt the newest. */
+  /** Makes @p aAttempt the newest of a key. @return the previous newest attempt, if any. */
   std::optional<attempt_id> ReplaceNewest(const std::string& aKey, attempt_id aAttempt)
   {
     const attempt_id* const before = mNewest.Find(aKey);
@@ -85,16 +85,16 @@
   }
 
 private:
-  static constexpr std::size_t kMaxKeys = 20000; ///< Keys remembered of each sort.
+  static constexpr std::size_t kMaxKeys = 20000; ///< Size limit of each table.
   bounded_table<keyed_call> mCalls{ kMaxKeys };  ///< Calls claimed by this daemon.
   bounded_table<attempt_id> mNewest{ kMaxKeys }; ///< Newest attempts of repeatable calls.
 };
 
-/** @return the call as the answer to a peer that asks for it. */
+/** @return the call as the JSON answer to a peer's query. */
 nlohmann::json
 ToJson(const keyed_call& aCall);
 
-/** @return the call of a peer's answer. */
+/** @return the call parsed from a peer's JSON answer. */
 keyed_call
 KeyedCallFromJson(const nlohmann::json& aJson);
 
--- a/src/control/log_follower.cpp
+++ b/src/control/log_follower.cpp
@@ -1,6 +1,6 @@
 /**
  * @file log_follower.cpp
- * Following, relaying, appending and snapshots.
+ * Reads the log, fetches records from other daemons, appends records and writes snapshots.
  */
 #include "control/log_follower.h"
 
@@ -17,24 +17,28 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kReadLongPollTime = 1s;  ///< How long a read waits for news.
-constexpr duration kMinReadBackoff = 150ms; ///< Rest after a read that failed or brought nothing.
-constexpr duration kMaxReadBackoff = 600ms; ///< That rest is doubled up to this.
-constexpr duration kRelayPollInterval = 100ms; ///< Time between looks at who is ahead.
-/** Rest after a relay that failed or brought nothing, at most; doubled from kRelayPollInterval.
- * What is written meanwhile is in force within 2 s. */
+constexpr duration kReadLongPollTime =
+  1s; ///< How long the log may hold a read without new records.
+constexpr duration kMinReadBackoff = 150ms;    ///< First delay after a read without progress.
+constexpr duration kMaxReadBackoff = 600ms;    ///< The delay is doubled up to this.
+constexpr duration kRelayPollInterval = 100ms; ///< Time between checks whether a daemon is ahead.
+/** Longest delay after a relay without progress; doubled from kRelayPollInterval. A record written
+ * meanwhile is applied within 2 s. */
 constexpr duration kMaxRelayBackoff = 1s;
-/** The snapshot of a daemon must come within this. Doubled after each that is late, up to the
- * longest: with one limit a slow one would never come. */
+/** Timeout of a snapshot call to a daemon. It is doubled after each timeout, up to the maximum:
+ * with a fixed timeout, a slow snapshot would never arrive. */
 constexpr duration kMinSnapshotTimeout = 5s;
 constexpr duration kMaxSnapshotTimeout = 40s;
-constexpr duration kAmbiguousAppendWait = 400ms; ///< Wait for a record whose answer was lost.
-constexpr duration kBatchDelay = 5ms;            ///< How long a batch gathers records.
-constexpr duration kRelayCallTimeout = 500ms;    ///< Time limit of a relay call.
-constexpr duration kSnapshotStagger = 250ms;     ///< Spread of snapshot writers, by rank.
+constexpr duration kAmbiguousAppendWait =
+  400ms;                                      ///< Wait for a record before its append is repeated.
+constexpr duration kBatchDelay = 5ms;         ///< How long a batch collects records.
+constexpr duration kRelayCallTimeout = 500ms; ///< Timeout of a relay call.
+constexpr duration kSnapshotStagger =
+  250ms; ///< Delay of a snapshot writer per daemon ranked before it.
 constexpr duration kIdleWait = 1h;
-constexpr std::size_t kMaxRelayRecords = 256; ///< Records of one relay call, at most.
-constexpr std::size_t kMinRelayRecords = 16;  ///< Halved down to this after late answers.
+constexpr std::size_t kMaxRelayRecords = 256; ///< Record limit of a relay call.
+constexpr std::size_t kMinRelayRecords =
+  16; ///< The record limit is halved down to this after failed calls.
 constexpr std::size_t kMaxBatchRecords = 256;
 constexpr std::size_t kMaxBatchBytes = std::size_t{ 512 } << 10U;
 constexpr std::size_t kSnapshotPartBytes = std::size_t{ 256 } << 10U;
@@ -93,7 +97,7 @@
   Spawn(mIo, SnapshotLoop());
 }
 
-/** Rests after what failed or brought nothing; each time longer until @p aDelay is set back. */
+/** Sleeps for @p aDelay and doubles it up to @p aMaxDelay; the caller resets it after progress. */
 asio::awaitable<void>
 log_follower::Backoff(duration& aDelay, duration aMaxDelay)
 {
@@ -124,8 +128,8 @@
       mLogReachable = false;
       UpdateCaughtUp();
     }
-    // A log that holds its answers paces the reads. One that answers nothing new at once is left
-    // alone for a rest.
+    // A log that holds its answers limits the rate of reads itself. After an immediate answer
+    // without new records, the next read is delayed.
     const bool held = batch && clock.Now() - began >= kMaxReadBackoff;
     if (held || loaded || (batch && mFold.Next() > before)) {
       rest = kMinReadBackoff;
@@ -138,7 +142,7 @@
 asio::awaitable<bool>
 log_follower::LoadSnapshotFromLog()
 {
-  // Offset 0 stands for the oldest record kept.
+  // Offset 0 requests the oldest record kept.
   snapshot_reader reader;
   std::uint64_t from = 0;
   for (;;) {
@@ -161,7 +165,7 @@
 log_follower::ReplaceFold(fold aFold)
 {
   if (aFold.Next() <= mFold.Next()) {
-    return; // Never back: what is in force stays in force.
+    return; // Never go back to an older state.
   }
   LogEvent(log_level::eInfo, "snapshot_loaded", { { "next", aFold.Next() } });
   mFold = std::move(aFold);
@@ -178,7 +182,7 @@
   bool applied = false;
   for (const log_record& record : aRecords) {
     if (record.mOffset != mFold.Next()) {
-      continue; // Folded already, by way of another daemon.
+      continue; // Already applied: it came from another daemon.
     }
     mFold.Apply(record);
     mRecentRecords.push_back(record);
@@ -215,7 +219,7 @@
       rest = kRelayPollInterval;
       continue;
     }
-    co_await Sleep(kRelayPollInterval); // The log itself may be about to bring the records.
+    co_await Sleep(kRelayPollInterval); // Give the log time to deliver the records.
     if (mFold.Next() != before) {
       rest = kRelayPollInterval;
       continue;
@@ -242,7 +246,7 @@
   const json message{ { "from", mFold.Next() }, { "most", mRelayRecords } };
   const result<json> answer = co_await mPeers.Call(aPeer, "records", message, kRelayCallTimeout);
   if (!answer) {
-    // A late answer still comes over the link: the next one is smaller.
+    // A late answer still occupies the link, so the next call asks for fewer records.
     mRelayRecords = std::max(mRelayRecords / 2, kMinRelayRecords);
     co_return;
   }
@@ -344,7 +348,7 @@
       co_return make_error_code(errc::eLogUnavailable);
     }
     ambiguous = true;
-    // A repeat of the append folds once, so it's safe whatever became of the last one.
+    // A repeated record is applied only once, so it is safe to append it again.
     const instant until =
       appended ? deadline : std::min(deadline, clock.Now() + kAmbiguousAppendWait);
     while (!aProbe() && clock.Now() < until) {
@@ -402,7 +406,7 @@
     if (!due() || !mLogReachable) {
       continue;
     }
-    // Any daemon may write it; the rank spreads them so that one usually does.
+    // Any daemon may write the snapshot; the delay by rank makes it likely that only one does.
     const std::string key = Join("snapshot:", covered);
     const std::uint64_t own = RendezvousRank(key, mMembers.Self().mIncarnation.mValue);
     std::int64_t ahead = 0;
@@ -418,7 +422,7 @@
     LogEvent(log_level::eInfo, "snapshot_written", { { "at", at }, { "parts", parts.size() } });
     for (const command& part : parts) {
       if (!co_await Append(part)) {
-        break; // The next change tries again.
+        break; // Retried after the next change.
       }
     }
   }
--- a/src/control/log_follower.h
+++ b/src/control/log_follower.h
@@ -1,8 +1,8 @@
 /**
  * @file log_follower.h
- * Keeps the fold up to date and writes to the log. Records come from the log itself or, while
- * it can't be reached, from other daemons; they're the same records either way. A write counts as
- * accepted once the fold shows its record, never by the append's answer.
+ * Applies the log's records to the fold and appends to the log. Records are read from the log or,
+ * while it can't be reached, from other daemons, which relay the same records. A write counts as
+ * accepted once its record was applied to the fold, never by the answer to the append.
  */
 #pragma once
 
@@ -16,14 +16,14 @@
 
 namespace dunehook {
 
-/** Settings of the follower. */
+/** Settings of the log follower. */
 struct follower_settings
 {
   double mAppendsPerSecond = 10.0;     ///< This daemon's share of the log's rate.
   std::uint64_t mSnapshotEvery = 2000; ///< Records between snapshots.
 };
 
-/** Follows the log and writes to it. */
+/** Keeps the fold up to date with the log and appends commands to the log. */
 class log_follower
 {
 public:
@@ -38,20 +38,21 @@
 
   /** @return the state in force. */
   const fold& State() const { return mFold; }
-  /** @return whether every record was folded that the log or a daemon is known to have. */
+  /** @return whether the fold has once contained every record that the log or a daemon was known to
+   * have. */
   bool CaughtUp() const { return mCaughtUp; }
-  /** @return whether the log answered lately. */
+  /** @return whether the last read of the log succeeded. */
   bool LogReachable() const { return mLogReachable; }
   /** @param aCallback called after records were applied. */
   void OnApplied(std::function<void()> aCallback) { mOnApplied = std::move(aCallback); }
-  /** Waits until the fold has applied more, at most @p aLimit. */
+  /** Waits until further records are applied, at most for @p aLimit. */
   asio::awaitable<void> WaitForChange(duration aLimit) { return mChanged.Wait(aLimit); }
 
   /**
-   * Writes a resource and waits until the fold shows what became of it.
+   * Writes a resource and waits until the fold has the outcome.
    * @pre aCommand has a write id.
    * @return the outcome; eLogUnavailable if nothing was written; eLogAmbiguous if the limit passed
-   * with the record's fate unknown.
+   * and the record may or may not be in the log.
    */
   asio::awaitable<result<write_outcome>> Write(command aCommand, duration aLimit);
 
@@ -61,14 +62,15 @@
    */
   asio::awaitable<result<claim>> Claim(std::string aKey, attempt_id aAttempt, duration aLimit);
 
-  /** Gives a claimed key back for a call that never was and never will be sent. */
+  /** Releases a claimed key of a call that wasn't sent and never will be. */
   void Release(const std::string& aKey, attempt_id aAttempt);
 
-  /** @return records from @p aFrom on, at most @p aMost; eRetentionPassed if they're not kept. */
+  /** @return records from @p aFrom on, at most @p aMost; eRetentionPassed if they are no longer
+   * kept. */
   result<std::vector<log_record>> Records(std::uint64_t aFrom, std::size_t aMost) const;
 
 private:
-  /** Records that wait for the next append. */
+  /** Records that are appended together. */
   struct append_batch
   {
     explicit append_batch(asio::io_context& aIo)
@@ -78,7 +80,7 @@
     std::vector<std::string> mRecords;            ///< Encoded commands.
     std::size_t mBytes = 0;                       ///< Their size.
     std::optional<result<std::uint64_t>> mResult; ///< Set when the append ended.
-    wake_list mDone;                              ///< Woken then.
+    wake_list mDone;                              ///< Notified when mResult is set.
   };
 
   asio::awaitable<void> ReadLoop();
@@ -99,23 +101,24 @@
 
   static constexpr std::size_t kMaxRecentRecords = 8192; ///< Records kept for other daemons.
 
-  asio::io_context& mIo;                 ///< Runs the loops.
-  log_client mLog;                       ///< The platform's log.
-  follower_settings mSettings;           ///< Share of appends, snapshot distance.
-  member_table& mMembers;                ///< Says which daemons are ahead.
-  peer_directory& mPeers;                ///< Relays records.
-  fold mFold;                            ///< The state.
-  std::deque<log_record> mRecentRecords; ///< Newest records, for relaying; without holes.
-  bool mLogReachable = false;            ///< The last read succeeded.
-  bool mLogHeadReached = false;          ///< The fold has reached the log's end once.
-  bool mCaughtUp = false;                ///< See CaughtUp(); once true it stays true.
-  wake_list mChanged;                    ///< Woken when records were applied.
-  std::function<void()> mOnApplied;      ///< Called when records were applied.
-  std::shared_ptr<append_batch> mBatch;  ///< Takes records now.
-  wake_list mBatchReady;                 ///< Woken when mBatch has its first record.
-  token_bucket mAppendLimiter;           ///< Share of the log's rate.
-  std::size_t mRelayRecords;             ///< Records of the next relay call.
-  duration mSnapshotTimeout;             ///< For the next snapshot of a daemon to come.
+  asio::io_context& mIo;       ///< Runs the loops.
+  log_client mLog;             ///< The platform's log.
+  follower_settings mSettings; ///< Share of appends, snapshot distance.
+  member_table& mMembers;      ///< Says which daemons are ahead.
+  peer_directory& mPeers;      ///< Relays records.
+  fold mFold;                  ///< The state.
+  std::deque<log_record>
+    mRecentRecords;                 ///< Newest records with consecutive offsets, kept for relaying.
+  bool mLogReachable = false;       ///< The last read succeeded.
+  bool mLogHeadReached = false;     ///< The fold has reached the log's end once.
+  bool mCaughtUp = false;           ///< See CaughtUp(); once true it stays true.
+  wake_list mChanged;               ///< Notified after records were applied.
+  std::function<void()> mOnApplied; ///< Called when records were applied.
+  std::shared_ptr<append_batch> mBatch; ///< Batch that new records are added to.
+  wake_list mBatchReady;                ///< Notified when a record is added to mBatch.
+  token_bucket mAppendLimiter; ///< Limits appends to this daemon's share of the log's rate.
+  std::size_t mRelayRecords;   ///< Record limit of the next relay call.
+  duration mSnapshotTimeout;   ///< Timeout of the next snapshot call to a daemon.
 };
 
 } // namespace dunehook
--- a/src/control/message.cpp
+++ b/src/control/message.cpp
@@ -1,6 +1,6 @@
 /**
  * @file message.cpp
- * JSON of the messages between a frontend and the owner of a cell.
+ * JSON encoding and decoding of the messages between a frontend and the owner of a cell.
  */
 #include "control/message_func.h"
 
@@ -100,7 +100,7 @@
   template<typename Other>
   json operator()(const Other& /*aEvent*/) const
   {
-    return json::object(); // Known to owners only; never sent.
+    return json::object(); // Events that only owners create are never sent.
   }
 };
 
--- a/src/control/message_func.h
+++ b/src/control/message_func.h
@@ -1,6 +1,6 @@
 /**
  * @file message_func.h
- * JSON of the messages between a frontend and the owner of a cell.
+ * JSON encoding and decoding of the messages between a frontend and the owner of a cell.
  */
 #pragma once
 
@@ -20,7 +20,8 @@
 };
 
 /**
- * @return the event as JSON. A class's targets aren't sent: the owner has them in its fold.
+ * @return the event as JSON. The targets of a priority class aren't sent: the owner has them in its
+ * fold.
  * @pre it's an event that frontends send.
  */
 nlohmann::json
--- a/src/control/model_controller.cpp
+++ b/src/control/model_controller.cpp
@@ -18,14 +18,14 @@
 constexpr duration kPollInterval = 500ms;
 constexpr duration kStateTimeout = 500ms;
 constexpr duration kLoadTimeout = 10s;
-/** Rest after a runner's failed load, doubled up to the longest: it may still be loading, and what
- * it reads from the weight store others wait for. */
+/** Delay after a runner's failed load, doubled up to the maximum: the runner may still be loading,
+ * and other runners wait for the bandwidth of the weight store. */
 constexpr duration kMinLoadBackoff = 1s;
 constexpr duration kMaxLoadBackoff = 30s;
 
 } // namespace
 
-/** @return whether a runner isn't to be ordered yet. Another version doesn't wait for the rest. */
+/** @return whether to wait before a repeated order. Another version is ordered at once. */
 bool
 model_controller::IsBackingOff(const load_key& aKey, std::uint64_t aFence) const
 {
@@ -54,7 +54,7 @@
   for (;;) {
     co_await Sleep(kPollInterval);
     const instant now = boot_clock_source().Now();
-    std::erase_if(mBackoffs, [now](const auto& aRow) { // Of runners that are gone, most of all.
+    std::erase_if(mBackoffs, [now](const auto& aRow) { // Mainly entries of runners that are gone.
       return now - aRow.second.mUntil > kMaxLoadBackoff;
     });
     std::vector<resource> wanted;
@@ -81,7 +81,7 @@
   }
   for (const host& one : hosts) {
     if (co_await LoadRunner(one, aResource)) {
-      co_return; // One load at a time; the rest follow at the next look.
+      co_return; // One load at a time; the other runners follow at the next poll.
     }
   }
 }
--- a/src/control/model_controller.h
+++ b/src/control/model_controller.h
@@ -1,9 +1,9 @@
 /**
  * @file model_controller.h
- * Orders runners to load the model versions that the configuration names. The fence of an order
- * is the offset of the resource that it follows from, so a daemon that is behind can't undo a
- * newer order at runners that check. One runner of a pool loads at a time: the weight store's
- * rate is limited, and the others go on serving.
+ * Orders runners to load the model versions that the configuration names. The fence of an order is
+ * the log offset of its resource, so a daemon whose fold is behind can't undo a newer order at
+ * runners that check fences. Only one runner of a pool loads at a time: the weight store's rate is
+ * limited, and the other runners go on serving.
  */
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace dunehook {
 
-/** Controller of the models of the pools that this daemon owns by rank. */
+/** Loads the models of the pools that this daemon owns by rendezvous rank. */
 class model_controller
 {
 public:
@@ -32,19 +32,19 @@
   {
   }
 
-  /** Starts the loop that gives orders. */
+  /** Starts the loop that sends orders. */
   void Start() { Spawn(mIo, LoadLoop()); }
 
 private:
-  /** Rest after a load that failed. */
+  /** Backoff after a failed load. */
   struct load_backoff
   {
-    std::uint64_t mFence = 0; ///< Version of the resource that was ordered.
-    duration mDelay{ 0 };     ///< How long the rest is.
-    instant mUntil{ 0 };      ///< Its end.
+    std::uint64_t mFence = 0; ///< Version of the resource whose load failed.
+    duration mDelay{ 0 };     ///< Current delay.
+    instant mUntil{ 0 };      ///< No order before this time.
   };
 
-  /** A runner by its name, and what is to be loaded on it. */
+  /** Name of a runner, and key of the resource to load on it. */
   using load_key = std::pair<std::string, resource_key>;
 
   bool IsBackingOff(const load_key& aKey, std::uint64_t aFence) const;
@@ -58,7 +58,7 @@
   const host_directory& mHosts;               ///< Runners.
   const member_table& mMembers;               ///< Says who owns a pool.
   engine_client& mEngines;                    ///< Carries orders.
-  std::map<load_key, load_backoff> mBackoffs; ///< Loads that failed the last time.
+  std::map<load_key, load_backoff> mBackoffs; ///< Loads whose last try failed.
 };
 
 } // namespace dunehook
--- a/src/control/owner_router.cpp
+++ b/src/control/owner_router.cpp
@@ -1,6 +1,6 @@
 /**
  * @file owner_router.cpp
- * The frontend's side of ownership.
+ * Sending of events to the owners of cells.
  */
 #include "control/owner_router.h"
 
@@ -11,8 +11,8 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kEventTimeout = 250ms;      ///< Time limit of an event to an owner.
-constexpr duration kOwnerPollInterval = 150ms; ///< Time between looks for changes of owners.
+constexpr duration kEventTimeout = 250ms;      ///< Timeout of an event to an owner.
+constexpr duration kOwnerPollInterval = 150ms; ///< Time between checks for changes of owners.
 constexpr int kMaxSendTries = 4;               ///< Owners tried for one event.
 
 } // namespace
@@ -21,7 +21,7 @@
 owner_router::Send(cell_key aKey, decide_event aEvent)
 {
   const attempt_id attempt = AttemptOf(aEvent);
-  // An owner that hears of an attempt by its progress only doesn't know it.
+  // Only these events make an attempt known to an owner; it drops other events of unknown attempts.
   const bool announcesAttempt = std::holds_alternative<request_arrived>(aEvent) ||
                                 std::holds_alternative<request_adopted>(aEvent);
   for (int tries = 0; tries < kMaxSendTries; ++tries) {
@@ -90,12 +90,12 @@
     co_return;
   }
   if (aReportedStage != request_stage::ePrefilling) {
-    co_return; // A transfer begins again, and a stream needs no order.
+    co_return; // A transfer starts again from its beginning, and a stream needs no order.
   }
   if (entry->mStage == request_stage::eReady) {
     co_await AnnounceToNewOwner(aAttempt);
   } else if (entry->mStage == request_stage::eWaiting) {
-    co_await Send(aKey, cancelled); // Else it takes the request for one that it has.
+    co_await Send(aKey, cancelled); // Otherwise the owner takes the request for a duplicate.
     co_await AnnounceToNewOwner(aAttempt);
   }
 }
--- a/src/control/owner_router.h
+++ b/src/control/owner_router.h
@@ -1,7 +1,7 @@
 /**
  * @file owner_router.h
- * The frontend's side of ownership: brings events to the owner of a cell, and tells a new owner
- * what is under way when the old one is gone.
+ * The frontend's side of ownership: sends events to the owner of a cell, and announces the attempts
+ * in progress to a new owner when the owner changes.
  */
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace dunehook {
 
-/** Brings events to owners. */
+/** Sends events to the owners of cells. */
 class owner_router
 {
 public:
@@ -26,11 +26,11 @@
   {
   }
 
-  /** Starts watching for changes of owners. */
+  /** Starts the check for changes of owners. */
   void Start() { Spawn(mIo, WatchLoop()); }
 
   /**
-   * Brings an event to its cell's owner, trying the next in rank if one can't be reached.
+   * Sends an event to its cell's owner, or to the next in rank if the owner can't be reached.
    * @return nothing, or eNoRunner if no owner could be reached.
    */
   asio::awaitable<result<void>> Send(cell_key aKey, decide_event aEvent);
@@ -41,18 +41,18 @@
 private:
   asio::awaitable<void> WatchLoop();
   asio::awaitable<void> AnnounceToNewOwner(attempt_id aAttempt);
-  /** Tells an owner what has become of an attempt since it was told of it: what was sent meanwhile
-   * may have come before, and is dropped for an attempt that isn't known.
-   * @param aReportedStage stage that it was told. */
+  /** Sends an owner the changes of an attempt since it was announced. Events sent meanwhile may
+   * have arrived before the announcement, and an owner drops events of unknown attempts.
+   * @param aReportedStage stage that was announced. */
   asio::awaitable<void> SendMissedChanges(cell_key aKey,
                                           attempt_id aAttempt,
                                           request_stage aReportedStage);
 
   asio::io_context& mIo;       ///< Runs the loop.
-  member_table& mMembers;      ///< Says who owns.
+  member_table& mMembers;      ///< Chooses the owner of a cell.
   peer_directory& mPeers;      ///< Carries events.
   cell_owner& mOwner;          ///< This daemon's own cells.
-  attempt_registry& mAttempts; ///< Attempts under way.
+  attempt_registry& mAttempts; ///< Attempts in progress.
 };
 
 } // namespace dunehook
--- a/src/control/peer_directory.cpp
+++ b/src/control/peer_directory.cpp
@@ -1,6 +1,6 @@
 /**
  * @file peer_directory.cpp
- * Calls to members.
+ * Calls to other daemons.
  */
 #include "control/peer_directory.h"
 
--- a/src/control/peer_directory.h
+++ b/src/control/peer_directory.h
@@ -1,7 +1,7 @@
 /**
  * @file peer_directory.h
- * Links to the other daemons. A call that can't reach its daemon makes the daemon suspected, so
- * that ownership passes it over until it's heard again.
+ * Links to the other daemons. A failed call marks its daemon as suspected, so that it isn't chosen
+ * as an owner until its next heartbeat.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace dunehook {
 
-/** Calls to members. */
+/** Calls methods of other daemons. */
 class peer_directory
 {
 public:
@@ -31,15 +31,15 @@
                                                duration aLimit);
 
   /**
-   * Calls a method over a connection of its own that ends with the call: for an answer so large
-   * that other calls would wait behind it, and that mustn't come on after the limit.
+   * Calls a method over a separate connection that is closed after the call: for answers so large
+   * that other calls would wait behind them, and whose transfer must stop at the timeout.
    */
   asio::awaitable<result<nlohmann::json>> CallOnOwnConnection(member_info aMember,
                                                               std::string aMethod,
                                                               nlohmann::json aMessage,
                                                               duration aLimit);
 
-  /** Ends the calls to a member that is gone, and forgets the link to it. */
+  /** Ends the calls to a member that is gone, and closes the links to it. */
   void CloseLinks(const member_info& aMember);
 
 private:
@@ -49,11 +49,12 @@
                                                        nlohmann::json aMessage,
                                                        duration aLimit);
 
-  asio::io_context& mIo;                                                ///< Runs the links.
-  member_table& mMembers;                                               ///< Told of suspicions.
-  std::string mSecret;                                                  ///< Common secret.
-  std::unordered_map<endpoint, std::shared_ptr<peer_link>> mLinks;      ///< By address.
-  std::multimap<endpoint, std::shared_ptr<peer_link>> mSingleCallLinks; ///< Links of one call each.
+  asio::io_context& mIo;  ///< Runs the links.
+  member_table& mMembers; ///< Records suspected daemons.
+  std::string mSecret;    ///< Secret shared by all daemons.
+  std::unordered_map<endpoint, std::shared_ptr<peer_link>> mLinks; ///< By address.
+  std::multimap<endpoint, std::shared_ptr<peer_link>>
+    mSingleCallLinks; ///< Links that serve a single call.
 };
 
 } // namespace dunehook
--- a/tests/integration/handover_test.cpp
+++ b/tests/integration/handover_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file handover_test.cpp
- * What a new owner of a cell is told of an attempt under way. The owner is played by the test: a
- * listener for calls between daemons that notes the events.
+ * The events that a new owner of a cell receives for an attempt in progress. The owner is a fake: a
+ * listener for calls between daemons that records the events.
  */
 #include "control/message_func.h"
 #include "control/owner_router.h"
@@ -17,14 +17,14 @@
 
 using nlohmann::json;
 
-/** Refuses connections: nothing here is asked of the log, the host list or engines. */
+/** Refuses connections: these tests need no log, host list or engines. */
 const endpoint kNobody{ "127.0.0.250", 9 };
 constexpr incarnation_id kFrontend{ 0x1111 };
 constexpr incarnation_id kFormerOwner{ 0x2222 };
 constexpr incarnation_id kOwner{ 0x3333 };
 const attempt_id kAttempt{ kFrontend, 1 };
 const cell_key kCell{ "prefill", "decode", "link" };
-/** Time until the owner knows all. */
+/** Time for the owner to receive all events. */
 constexpr duration kToldWithin = 1s;
 
 member_info
@@ -44,9 +44,9 @@
   asio::io_context mIo{ 1 };               ///< Runs both sides.
   rpc_dispatcher mDispatcher;              ///< Of the owner.
   std::unique_ptr<peer_listener> mOwnerAt; ///< Of the owner.
-  std::vector<std::string> mTypes;         ///< Types of the events that the owner was told of.
-  std::vector<int> mStages;                ///< Stages that it was told of, in order.
-  std::function<void()> mOnEvent;          ///< Done as an event comes.
+  std::vector<std::string> mTypes;         ///< Types of the events that the owner received.
+  std::vector<int> mStages;                ///< Stages that it received, in order.
+  std::function<void()> mOnEvent;          ///< Called when an event arrives.
 
   member_table mMembers{ InfoOf(kFrontend, kNobody), {}, kPeerSecret };
   peer_directory mPeers{ mIo, mMembers, kPeerSecret };
--- a/tests/integration/holds_test.cpp
+++ b/tests/integration/holds_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file holds_test.cpp
- * Promise: no engine memory stays held for a caller that is gone. The engines' stand-ins free
- * nothing by themselves when a connection closes; holds are counted at the engines.
+ * Guarantee: no engine memory stays held for a caller that is gone. The fake engines free nothing
+ * by themselves when a connection closes; holds are counted at the engines.
  */
 #include "tests/support/testbed.h"
 
@@ -17,7 +17,7 @@
 constexpr int kFreedWithinMs = 2000;
 const std::string kLongPrompt(4000, 'x'); // 1000 tokens.
 
-/** Where a request is caught. */
+/** Stage at which the caller or daemon goes away. */
 enum class stage
 {
   eQueue,
@@ -104,7 +104,7 @@
   if (holder) {
     holder->Close();
     CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreedWithinMs));
-    // Nothing of the closed call is left to take the freed slot.
+    // The closed call must not take the freed slot.
     CHECK_FALSE(Eventually([&] { return bed.Holds() > 0; }, 500));
   }
 }
--- a/tests/integration/once_test.cpp
+++ b/tests/integration/once_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file once_test.cpp
- * Promises: what is said not to have run did not run, and a call that may not be repeated runs at
- * most once. The service's own count of runs is the judge.
+ * Guarantees: a call reported as not run did not run, and a call that may not be repeated runs at
+ * most once. Runs are counted by the service itself.
  */
 #include "tests/support/testbed.h"
 
@@ -49,7 +49,7 @@
   testbed mBed; ///< The deployment.
 };
 
-/** Checks what was said against what ran. */
+/** Compares the reported outcome with the service's count of runs. */
 void
 CheckTruth(record_bed& aBed, const std::string& aRecord, const answer& aAnswer)
 {
--- a/tests/integration/order_test.cpp
+++ b/tests/integration/order_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file order_test.cpp
- * Orders of an owner to a frontend whose heartbeat comes after its events. The frontend is played
- * by the test: a listener for calls between daemons, and a member table that builds its heartbeat.
+ * Orders of an owner to a frontend whose heartbeat arrives after its events. The frontend is a
+ * fake: a listener for calls between daemons, and a member table that builds its heartbeat.
  */
 #include "control/message_func.h"
 #include "membership/member_base.h"
@@ -27,7 +27,7 @@
 using asio::ip::udp;
 using nlohmann::json;
 
-/** A frontend that a test plays. */
+/** Fake frontend. */
 class played_frontend
 {
 public:
--- a/tests/integration/overlap_test.cpp
+++ b/tests/integration/overlap_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file overlap_test.cpp
- * Promise: what a daemon does again and again isn't begun before the last one has ended, and a far
- * side that is slow gets less of it, not more. Calls are counted at the stand-ins.
+ * Guarantee: a daemon doesn't start a periodic call before the last one has ended, and a slow
+ * server gets fewer calls, not more. Calls are counted at the fake servers.
  */
 #include "tests/support/testbed.h"
 
--- a/tests/unit/follower_test.cpp
+++ b/tests/unit/follower_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file follower_test.cpp
- * The log follower beside a log and a daemon that are slow or answer nothing new: it asks less
- * often the longer that lasts, and one call after the other.
+ * The log follower with a log and a daemon that are slow or have nothing new: it must back off, and
+ * must not start a call before the last one has ended.
  */
 #include "control/log_follower.h"
 #include "net/http_server.h"
@@ -19,7 +19,7 @@
 
 const char* const kSecret = "secret";
 const endpoint kAnyPort{ "127.0.0.1", 0 };
-constexpr std::uint64_t kAhead = 1000; ///< Next offset of the stand-in.
+constexpr std::uint64_t kAhead = 1000; ///< Next offset of the fake daemon.
 
 instant
 Now()
@@ -27,7 +27,8 @@
   return boot_clock_source().Now();
 }
 
-/** Stand-in for a daemon that is ahead: its records are too old, and its snapshot comes slowly. */
+/** Fake daemon that is ahead: it no longer has the records wanted, and sends its snapshot slowly.
+ */
 class peer_standin
 {
 public:
@@ -41,11 +42,11 @@
   endpoint Address() const { return AddressOf(mAcceptor); }
 
   duration mSnapshotTime{ 0 }; ///< How long the answer with the snapshot takes to be sent.
-  bool mAnswersRecords = true; ///< Else calls for records stay without an answer.
+  bool mAnswersRecords = true; ///< If false, calls for records get no answer.
   int mRecordCalls = 0;        ///< Calls for records.
-  int mRecordsWanted = 0;      ///< How many the last of them was for.
+  int mRecordsWanted = 0;      ///< Record limit of the last of them.
   int mSnapshotCalls = 0;      ///< Calls for a snapshot.
-  int mSnapshotsWhole = 0;     ///< Snapshots sent to their end.
+  int mSnapshotsWhole = 0;     ///< Snapshots sent completely.
 
 private:
   asio::awaitable<void> AcceptLoop()
@@ -102,7 +103,7 @@
       response["result"] = { { "active", true } };
     }
     std::string text = response.dump();
-    text.append(pieces, ' '); // Something for each piece.
+    text.append(pieces, ' '); // One byte for each piece.
     text += '\n';
     for (int piece = 0; piece < pieces; ++piece) {
       co_await Sleep(pieces == 1 ? duration{ 0 } : mSnapshotTime / pieces);
@@ -123,7 +124,7 @@
   tcp::acceptor mAcceptor; ///< The listening socket.
 };
 
-/** Stand-in for a log that has nothing new and doesn't hold its answers. */
+/** Fake log that has no new records and answers at once. */
 class log_standin
 {
 public:
@@ -205,7 +206,7 @@
   asio::io_context mIo{ 1 };
   endpoint mLog;
   member_table mMembers{ Self(), member_settings{}, kSecret };
-  std::unique_ptr<member_table> mAhead; ///< The stand-in's own table.
+  std::unique_ptr<member_table> mAhead; ///< The fake daemon's own table.
   peer_directory mPeers{ mIo, mMembers, kSecret };
   log_follower mFollower{ mIo, mLog, follower_settings{}, mMembers, mPeers };
 };
