--- a/src/control/cell_watch.cpp
+++ b/src/control/cell_watch.cpp
@@ -20,12 +20,12 @@
 using namespace std::chrono_literals;
 
 /** Longest pause after polls that an engine didn't answer. With kEngineCallTimeout it stays below
- * kFailedTime, for which a failed look keeps work away from the engine: an engine that is
- * unresponsive all the while gets none. */
+ * kFailedTime, for which a failed poll keeps work away from the engine: an engine that stays
+ * silent gets none. */
 constexpr duration kMaxEnginePollInterval = 450ms;
 static_assert(kMaxEnginePollInterval + kEngineCallTimeout < kFailedTime);
-constexpr duration kUnknownHoldGracePeriod =
-  1s; ///< The event that announces an unknown hold may still be in flight.
+/** The event that announces the attempt of an unknown hold may still be in flight. */
+constexpr duration kUnknownHoldGracePeriod = 1s;
 
 } // namespace
 
--- a/src/control/log_follower.cpp
+++ b/src/control/log_follower.cpp
@@ -17,8 +17,8 @@
 using json = nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr duration kReadLongPollTime =
-  1s; ///< How long the log may hold a read without new records.
+/** How long the log may hold a read without new records. */
+constexpr duration kReadLongPollTime = 1s;
 constexpr duration kMinReadBackoff = 150ms;    ///< First delay after a read without progress.
 constexpr duration kMaxReadBackoff = 600ms;    ///< The delay is doubled up to this.
 constexpr duration kRelayPollInterval = 100ms; ///< Time between checks whether a daemon is ahead.
@@ -29,16 +29,16 @@
  * with a fixed timeout, a slow snapshot would never arrive. */
 constexpr duration kMinSnapshotTimeout = 5s;
 constexpr duration kMaxSnapshotTimeout = 40s;
-constexpr duration kAmbiguousAppendWait =
-  400ms;                                      ///< Wait for a record before its append is repeated.
+/** Wait for a record whose append answer was lost, before the append is repeated. */
+constexpr duration kAmbiguousAppendWait = 400ms;
 constexpr duration kBatchDelay = 5ms;         ///< How long a batch collects records.
 constexpr duration kRelayCallTimeout = 500ms; ///< Timeout of a relay call.
-constexpr duration kSnapshotStagger =
-  250ms; ///< Delay of a snapshot writer per daemon ranked before it.
+/** Delay of a snapshot writer per daemon ranked before it. */
+constexpr duration kSnapshotStagger = 250ms;
 constexpr duration kIdleWait = 1h;
 constexpr std::size_t kMaxRelayRecords = 256; ///< Record limit of a relay call.
-constexpr std::size_t kMinRelayRecords =
-  16; ///< The record limit is halved down to this after failed calls.
+/** The record limit is halved down to this after failed calls. */
+constexpr std::size_t kMinRelayRecords = 16;
 constexpr std::size_t kMaxBatchRecords = 256;
 constexpr std::size_t kMaxBatchBytes = std::size_t{ 512 } << 10U;
 constexpr std::size_t kSnapshotPartBytes = std::size_t{ 256 } << 10U;
--- a/src/control/peer_directory.h
+++ b/src/control/peer_directory.h
@@ -1,7 +1,7 @@
 /**
  * @file peer_directory.h
- * Links to the other daemons. A failed call marks its daemon as suspected, so that it isn't chosen
- * as an owner until its next heartbeat.
+ * Links to the other daemons. A call that fails other than by eBadRequest marks its daemon as
+ * suspected, so that it isn't chosen as an owner until its next heartbeat.
  */
 #pragma once
 
