--- a/src/log/log_client.cpp
+++ b/src/log/log_client.cpp
@@ -14,14 +14,14 @@
 
 using json = nlohmann::json;
 
-constexpr duration kCallLimit = std::chrono::seconds(2);
-constexpr unsigned kOk = 200;
-constexpr unsigned kGone = 410;
+constexpr duration kCallTimeout = std::chrono::seconds(2);
+constexpr unsigned kStatusOk = 200;
+constexpr unsigned kStatusGone = 410;
 
 std::int64_t
-Milliseconds(duration aSpan)
+Milliseconds(duration aDuration)
 {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(aSpan).count();
+  return std::chrono::duration_cast<std::chrono::milliseconds>(aDuration).count();
 }
 
 log_batch
@@ -65,14 +65,14 @@
 {
   http_call call;
   call.mTarget = Join("/log/read?from=", aFrom, "&wait_ms=", Milliseconds(aWait));
-  const result<http_answer> answer = co_await mPool.Call(mAt, call, aWait + kCallLimit);
+  const result<http_answer> answer = co_await mPool.Call(mAddress, call, aWait + kCallTimeout);
   if (!answer) {
     co_return make_error_code(errc::eLogUnavailable);
   }
-  if (answer.value().mStatus == kGone) {
+  if (answer.value().mStatus == kStatusGone) {
     co_return make_error_code(errc::eRetentionPassed);
   }
-  if (answer.value().mStatus != kOk) {
+  if (answer.value().mStatus != kStatusOk) {
     co_return make_error_code(errc::eLogUnavailable);
   }
   try {
@@ -87,7 +87,8 @@
 asio::awaitable<result<std::uint64_t>>
 log_client::Append(const std::vector<std::string>& aRecords)
 {
-  const result<http_connection_ptr> connection = co_await http_connection::Connect(mAt, kCallLimit);
+  const result<http_connection_ptr> connection =
+    co_await http_connection::Connect(mAddress, kCallTimeout);
   if (!connection) {
     co_return make_error_code(errc::eLogUnavailable);
   }
@@ -95,11 +96,11 @@
   call.mMethod = http::verb::post;
   call.mTarget = "/log/append";
   call.mBody = json{ { "records", aRecords } }.dump();
-  const result<http_answer> answer = co_await connection.value()->Call(call, kCallLimit);
+  const result<http_answer> answer = co_await connection.value()->Call(call, kCallTimeout);
   if (!answer) {
     co_return make_error_code(errc::eLogAmbiguous);
   }
-  if (answer.value().mStatus != kOk) {
+  if (answer.value().mStatus != kStatusOk) {
     co_return make_error_code(errc::eLogUnavailable);
   }
   try {
@@ -114,8 +115,8 @@
 {
   http_call call;
   call.mTarget = "/hosts";
-  const result<http_answer> answer = co_await mPool.Call(mAt, call, kCallLimit);
-  if (!answer || answer.value().mStatus != kOk) {
+  const result<http_answer> answer = co_await mPool.Call(mAddress, call, kCallTimeout);
+  if (!answer || answer.value().mStatus != kStatusOk) {
     co_return make_error_code(errc::eLogUnavailable);
   }
   try {
--- a/src/log/log_client.h
+++ b/src/log/log_client.h
@@ -30,8 +30,8 @@
 class log_client
 {
 public:
-  explicit log_client(endpoint aAt)
-    : mAt(std::move(aAt))
+  explicit log_client(endpoint aAddress)
+    : mAddress(std::move(aAddress))
   {
   }
 
@@ -54,7 +54,7 @@
   std::uint64_t OldestKept() const { return mOldestKept; }
 
 private:
-  endpoint mAt;                  ///< The service.
+  endpoint mAddress;             ///< The service.
   http_pool mPool;               ///< Kept connections.
   std::uint64_t mOldestKept = 1; ///< From the last read.
 };
@@ -66,8 +66,8 @@
 class host_list_client
 {
 public:
-  explicit host_list_client(endpoint aAt)
-    : mAt(std::move(aAt))
+  explicit host_list_client(endpoint aAddress)
+    : mAddress(std::move(aAddress))
   {
   }
 
@@ -75,8 +75,8 @@
   asio::awaitable<result<std::vector<host>>> Read();
 
 private:
-  endpoint mAt;    ///< The service.
-  http_pool mPool; ///< Kept connections.
+  endpoint mAddress; ///< The service.
+  http_pool mPool;   ///< Kept connections.
 };
 
 } // namespace dunehook
