--- a/src/log/log_client.h
+++ b/src/log/log_client.h
@@ -13,7 +13,8 @@
 
 namespace dunehook {
 
-/** Anything that can be read and appended to like the log; fakes in tests satisfy it too. */
+/** A service with the log's read and append calls; satisfied by log_client and by fakes in tests.
+ */
 template<typename T>
 concept log_service =
   requires(T& aLog, std::uint64_t aFrom, duration aWait, const std::vector<std::string>& aRecords)
@@ -26,7 +27,7 @@
     } -> std::same_as<asio::awaitable<result<std::uint64_t>>>;
 };
 
-/** The log over HTTP. */
+/** Reads and appends records of the log service over HTTP. */
 class log_client
 {
 public:
@@ -38,30 +39,31 @@
   /**
    * Reads records.
    * @param aFrom first offset wanted.
-   * @param aWait how long the service may hold the answer while there is nothing to say.
-   * @return the batch, eRetentionPassed with the records gone, or eLogUnavailable.
+   * @param aWait how long the service may hold the answer while there are no records.
+   * @return the batch, eRetentionPassed if the records are no longer kept, or eLogUnavailable.
    */
   asio::awaitable<result<log_batch>> Read(std::uint64_t aFrom, duration aWait);
 
   /**
-   * Appends records in one go.
+   * Appends records with one call.
    * @return the first record's offset; eLogUnavailable if nothing was appended; eLogAmbiguous if
    * the answer was lost, so that the records may have been appended.
    */
   asio::awaitable<result<std::uint64_t>> Append(const std::vector<std::string>& aRecords);
 
-  /** @return oldest offset kept, as the last answer said. */
+  /** @return the oldest offset kept according to the last read. */
   std::uint64_t OldestKept() const { return mOldestKept; }
 
 private:
-  endpoint mAddress;             ///< The service.
-  http_pool mPool;               ///< Kept connections.
+  endpoint mAddress;             ///< Address of the service.
+  http_pool mPool;               ///< Connections for reuse.
   std::uint64_t mOldestKept = 1; ///< From the last read.
 };
 
 static_assert(log_service<log_client>);
 
-/** Reads of the host list. GET /hosts answers {"hosts":[{"name","address","pool","hall","state"}]}.
+/** Reads the host list over HTTP. GET /hosts answers
+ * {"hosts":[{"name","address","pool","hall","state"}]}.
  */
 class host_list_client
 {
@@ -75,8 +77,8 @@
   asio::awaitable<result<std::vector<host>>> Read();
 
 private:
-  endpoint mAddress; ///< The service.
-  http_pool mPool;   ///< Kept connections.
+  endpoint mAddress; ///< Address of the service.
+  http_pool mPool;   ///< Connections for reuse.
 };
 
 } // namespace dunehook
--- a/src/log/log_type.h
+++ b/src/log/log_type.h
@@ -1,6 +1,6 @@
 /**
  * @file log_type.h
- * What the platform's services say: hosts of the host list and batches of the log.
+ * Data read from the platform's services: hosts of the host list and batches of log records.
  */
 #pragma once
 
@@ -18,11 +18,11 @@
 /** A host of the host list. */
 struct host
 {
-  std::string mName;     ///< Unique name.
-  endpoint mAddress;     ///< Where its process listens.
+  std::string mName;     ///< Unique name of the host.
+  endpoint mAddress;     ///< Address that its process listens on.
   std::string mPool;     ///< Pool it belongs to, or kRouterPool.
-  std::string mHall;     ///< Data hall it stands in.
-  bool mLeaving = false; ///< It takes no new work and will go.
+  std::string mHall;     ///< Data hall that the host is in.
+  bool mLeaving = false; ///< The host takes no new work and is about to be removed.
 
   auto operator<=>(const host&) const = default;
 };
@@ -31,8 +31,8 @@
 struct log_batch
 {
   std::uint64_t mFirst = 1;         ///< Oldest offset still kept.
-  std::uint64_t mNext = 1;          ///< Offset that the next append will get.
-  std::vector<log_record> mRecords; ///< Records from the wanted offset on.
+  std::uint64_t mNext = 1;          ///< Offset that the next appended record gets.
+  std::vector<log_record> mRecords; ///< Records from the requested offset on.
 };
 
 } // namespace dunehook
