--- a/tests/integration/handover_test.cpp
+++ b/tests/integration/handover_test.cpp
@@ -18,14 +18,14 @@
 using nlohmann::json;
 
 /** Refuses connections: these tests need no log, host list or engines. */
-const endpoint kNobody{ "127.0.0.250", 9 };
+const endpoint kUnreachable{ "127.0.0.250", 9 };
 constexpr incarnation_id kFrontend{ 0x1111 };
 constexpr incarnation_id kFormerOwner{ 0x2222 };
 constexpr incarnation_id kOwner{ 0x3333 };
 const attempt_id kAttempt{ kFrontend, 1 };
 const cell_key kCell{ "prefill", "decode", "link" };
 /** Time for the owner to receive all events. */
-constexpr duration kToldWithin = 1s;
+constexpr duration kEventWait = 1s;
 
 member_info
 InfoOf(incarnation_id aIncarnation, const endpoint& aAddress)
@@ -41,17 +41,17 @@
 
 TEST_GROUP(handover)
 {
-  asio::io_context mIo{ 1 };               ///< Runs both sides.
-  rpc_dispatcher mDispatcher;              ///< Of the owner.
-  std::unique_ptr<peer_listener> mOwnerAt; ///< Of the owner.
-  std::vector<std::string> mTypes;         ///< Types of the events that the owner received.
-  std::vector<int> mStages;                ///< Stages that it received, in order.
-  std::function<void()> mOnEvent;          ///< Called when an event arrives.
-
-  member_table mMembers{ InfoOf(kFrontend, kNobody), {}, kPeerSecret };
+  asio::io_context mIo{ 1 };                     ///< Runs both sides.
+  rpc_dispatcher mDispatcher;                    ///< Of the owner.
+  std::unique_ptr<peer_listener> mOwnerListener; ///< Of the owner.
+  std::vector<std::string> mTypes;               ///< Types of the events that the owner received.
+  std::vector<int> mStages;                      ///< Stages that it received, in order.
+  std::function<void()> mOnEvent;                ///< Called when an event arrives.
+
+  member_table mMembers{ InfoOf(kFrontend, kUnreachable), {}, kPeerSecret };
   peer_directory mPeers{ mIo, mMembers, kPeerSecret };
-  log_follower mLog{ mIo, kNobody, {}, mMembers, mPeers };
-  host_directory mHosts{ mIo, kNobody, 1s };
+  log_follower mLog{ mIo, kUnreachable, {}, mMembers, mPeers };
+  host_directory mHosts{ mIo, kUnreachable, 1s };
   engine_client mEngines;
   attempt_registry mAttempts;
   cell_owner mCells{ mIo, mLog, mHosts, mMembers, mPeers, mEngines, mAttempts };
@@ -70,11 +70,11 @@
       }
       return json{ { "taken", true } }.dump();
     });
-    mOwnerAt =
+    mOwnerListener =
       std::move(peer_listener::Open(mIo, { "127.0.0.1", 0 }, kPeerSecret, mDispatcher).value());
-    member_table owner(InfoOf(kOwner, mOwnerAt->Address()), {}, kPeerSecret);
+    member_table owner(InfoOf(kOwner, mOwnerListener->Address()), {}, kPeerSecret);
     owner.SetSelf(1, true);
-    owner.AddSeed(kNobody);
+    owner.AddSeed(kUnreachable);
     mMembers.Receive(owner.BuildHeartbeat(boot_clock_source{}.Now()).mData,
                      boot_clock_source{}.Now());
     CHECK_TRUE(mMembers.OwnerOf(ToText(kCell)).mIncarnation == kOwner);
@@ -97,7 +97,7 @@
   void TellOwner()
   {
     mRouter.Start();
-    mIo.run_for(kToldWithin);
+    mIo.run_for(kEventWait);
   }
 };
 
--- a/tests/integration/holds_test.cpp
+++ b/tests/integration/holds_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr int kFreedWithinMs = 2000;
+constexpr int kFreeTimeoutMs = 2000;
 const std::string kLongPrompt(4000, 'x'); // 1000 tokens.
 
 /** Stage at which the caller or daemon goes away. */
@@ -52,8 +52,8 @@
     aBed.Put(
       first, "pool", "tutor-decode", { { "role", "decode" }, { "slots", 1 } }, pool["version"]);
     const json before = aBed.Operate(first, "GET", "/api/v1/priority_class/practice").Json();
-    const json patient{ { "first_token_ms", 60000 }, { "max_wait_ms", 60000 } };
-    aBed.Put(first, "priority_class", "practice", patient, before["version"]);
+    const json longWaits{ { "first_token_ms", 60000 }, { "max_wait_ms", 60000 } };
+    aBed.Put(first, "priority_class", "practice", longWaits, before["version"]);
   }
   for (int number = 1; number <= aDaemons; ++number) {
     const entry_daemon& entry = aBed.Daemon("entry-" + std::to_string(number));
@@ -100,10 +100,10 @@
   const std::size_t before = bed.Holds();
   const auto call = OpenAt(bed, aStage, bed.Daemon("entry-2"));
   call->Close();
-  CHECK_TRUE(Eventually([&] { return bed.Holds() <= before; }, kFreedWithinMs));
+  CHECK_TRUE(Eventually([&] { return bed.Holds() <= before; }, kFreeTimeoutMs));
   if (holder) {
     holder->Close();
-    CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreedWithinMs));
+    CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreeTimeoutMs));
     // The closed call must not take the freed slot.
     CHECK_FALSE(Eventually([&] { return bed.Holds() > 0; }, 500));
   }
@@ -117,7 +117,7 @@
   const auto call = OpenAt(bed, aStage, bed.Daemon("entry-2"));
   CHECK_TRUE(bed.Holds() > 0);
   bed.Daemon("entry-2").mProcess->Signal(SIGKILL);
-  CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreedWithinMs));
+  CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreeTimeoutMs));
 }
 
 } // namespace
@@ -176,7 +176,7 @@
   const auto another = OpenAt(bed, stage::eDecode, bed.Daemon(owner.empty() ? "entry-3" : owner));
   bed.Daemon(frontend).mProcess->Signal(SIGKILL);
   bed.Daemon(owner.empty() ? "entry-3" : owner).mProcess->Signal(SIGKILL);
-  CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreedWithinMs));
+  CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreeTimeoutMs));
 }
 
 TEST(holds, AFrozenDaemonsHoldsAreFreedAndItWakesWithoutHarm)
@@ -185,11 +185,11 @@
   StartSlowAt(bed, stage::eDecode, 3);
   const auto call = OpenAt(bed, stage::eDecode, bed.Daemon("entry-2"));
   bed.Daemon("entry-2").mProcess->Signal(SIGSTOP);
-  CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreedWithinMs + 500));
+  CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreeTimeoutMs + 500));
   bed.Daemon("entry-2").mProcess->Signal(SIGCONT);
   call->ReadAll();
   for (std::size_t at = 0; at < call->Indexes().size(); ++at) {
     LONGS_EQUAL(at, call->Indexes()[at]);
   }
-  CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreedWithinMs));
+  CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreeTimeoutMs));
 }
--- a/tests/integration/once_test.cpp
+++ b/tests/integration/once_test.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 /** Daemons before a service behind a fault-injecting proxy. */
-struct record_bed
+struct record_testbed
 {
-  explicit record_bed(int aDaemons)
+  explicit record_testbed(int aDaemons)
   {
     mBed.StartTutoring(aDaemons, 1, 1);
     mBed.StartProxy("proxy-1", mBed.At("records-1").mAddress);
@@ -40,7 +40,7 @@
     return Call(
       mBed.Daemon("entry-" + std::to_string(aDaemon)).mCallers, "POST", "/records", body, key);
   }
-  std::future<answer> RecordLater(int aDaemon,
+  std::future<answer> RecordAsync(int aDaemon,
                                   const std::string& aRecord,
                                   const std::string& aKey = "")
   {
@@ -51,7 +51,7 @@
 
 /** Compares the reported outcome with the service's count of runs. */
 void
-CheckTruth(record_bed& aBed, const std::string& aRecord, const answer& aAnswer)
+CheckOutcomeMatchesRuns(record_testbed& aBed, const std::string& aRecord, const answer& aAnswer)
 {
   const std::uint64_t runs = aBed.mBed.Runs(aRecord);
   CHECK_TRUE(runs <= 1);
@@ -67,47 +67,47 @@
 
 TEST(once, EachPointOfACutGivesATrueOutcome)
 {
-  record_bed bed(1);
+  record_testbed bed(1);
   const standin& proxy = bed.mBed.At("proxy-1");
   int number = 0;
-  const auto cutAt = [&](const json& aFaults) {
+  const auto outcomeWithFaults = [&](const json& aFaults) {
     Control(proxy, aFaults);
     const std::string record = "cut-" + std::to_string(++number);
-    const answer told = bed.Record(1, record);
-    CheckTruth(bed, record, told);
-    return told.Outcome();
+    const answer reported = bed.Record(1, record);
+    CheckOutcomeMatchesRuns(bed, record, reported);
+    return reported.Outcome();
   };
   for (const int bytes : { 0, 1, 40, 150, 250, 350, 420 }) {
     const std::string outcome =
-      cutAt({ { "faults", 1 }, { "request_bytes", bytes }, { "answer_bytes", -1 } });
+      outcomeWithFaults({ { "faults", 1 }, { "request_bytes", bytes }, { "answer_bytes", -1 } });
     CHECK_TRUE(outcome == "unknown" || outcome == "done");
   }
   for (const int bytes : { 0, 1, 60, 120 }) {
     const std::string outcome =
-      cutAt({ { "faults", 1 }, { "request_bytes", -1 }, { "answer_bytes", bytes } });
+      outcomeWithFaults({ { "faults", 1 }, { "request_bytes", -1 }, { "answer_bytes", bytes } });
     STRCMP_EQUAL("unknown", outcome.c_str());
     LONGS_EQUAL(1, bed.mBed.Runs("cut-" + std::to_string(number)));
   }
-  STRCMP_EQUAL("done", cutAt({ { "faults", 0 } }).c_str());
+  STRCMP_EQUAL("done", outcomeWithFaults({ { "faults", 0 } }).c_str());
 }
 
 TEST(once, ARunnerThatCantBeReachedMeansNotRun)
 {
-  record_bed bed(1);
+  record_testbed bed(1);
   bed.mBed.SetHost("records-1", "127.0.0.1:1", "lesson-records");
   std::string record;
   int number = 0;
   CHECK_TRUE(Eventually([&] {
     record = "unreachable-" + std::to_string(++number);
-    const answer told = bed.Record(1, record);
-    return told.Outcome() == "not-run" && told.mHeaders.contains("retry-after");
+    const answer reported = bed.Record(1, record);
+    return reported.Outcome() == "not-run" && reported.mHeaders.contains("retry-after");
   }));
   LONGS_EQUAL(0, bed.mBed.Runs(record));
 }
 
 TEST(once, AKeyUsedThroughTwoDaemonsRunsOnceAndTheAnswerIsReplayed)
 {
-  record_bed bed(2);
+  record_testbed bed(2);
   const std::string key = FreshKey("a");
   STRCMP_EQUAL("done", bed.Record(1, "twice", key).Outcome().c_str());
   const answer again = bed.Record(2, "twice", key);
@@ -118,14 +118,14 @@
 
 TEST(once, ManyRetriesAtOnceThroughAllDaemonsRunOnce)
 {
-  record_bed bed(3);
+  record_testbed bed(3);
   for (int round = 0; round < 5; ++round) {
     const std::string record = "race-" + std::to_string(round);
     const std::string key = FreshKey(record);
     std::vector<std::future<answer>> calls;
     calls.reserve(9);
     for (int call = 0; call < 9; ++call) {
-      calls.push_back(bed.RecordLater(1 + call % 3, record, key));
+      calls.push_back(bed.RecordAsync(1 + call % 3, record, key));
     }
     for (auto& call : calls) {
       call.get();
@@ -136,23 +136,23 @@
 
 TEST(once, ALostAppendAnswerRunsOnce)
 {
-  record_bed bed(2);
+  record_testbed bed(2);
   Control(bed.mBed.Platform(), { { "lose_answers", 3 } });
   const std::string key = FreshKey("lost");
-  const answer told = bed.Record(1, "lost", key);
-  CheckTruth(bed, "lost", told);
-  STRCMP_EQUAL("done", told.Outcome().c_str());
+  const answer reported = bed.Record(1, "lost", key);
+  CheckOutcomeMatchesRuns(bed, "lost", reported);
+  STRCMP_EQUAL("done", reported.Outcome().c_str());
   bed.Record(2, "lost", key);
   LONGS_EQUAL(1, bed.mBed.Runs("lost"));
 }
 
 TEST(once, ARefusedAppendMeansNotRunAndTheRetryRuns)
 {
-  record_bed bed(2);
+  record_testbed bed(2);
   Control(bed.mBed.Platform(), { { "refuse_appends", 1 } });
   const std::string key = FreshKey("refused");
-  const answer told = bed.Record(1, "refused", key);
-  STRCMP_EQUAL("not-run", told.Outcome().c_str());
+  const answer reported = bed.Record(1, "refused", key);
+  STRCMP_EQUAL("not-run", reported.Outcome().c_str());
   LONGS_EQUAL(0, bed.mBed.Runs("refused"));
   CHECK_TRUE(Eventually([&] { return bed.Record(2, "refused", key).Outcome() == "done"; }));
   LONGS_EQUAL(1, bed.mBed.Runs("refused"));
@@ -160,11 +160,11 @@
 
 TEST(once, ADaemonFrozenAfterItsClaimAndWokenAfterTheRetryRunsItOnce)
 {
-  record_bed bed(2);
+  record_testbed bed(2);
   const std::string key = FreshKey("frozen");
   Control(bed.mBed.Platform(), { { "log_slow_ms", 700 } });
   const auto before = Call(bed.mBed.Platform().mAddress, "GET", "/counters").Json()["next"];
-  auto first = bed.RecordLater(1, "frozen", key);
+  auto first = bed.RecordAsync(1, "frozen", key);
   // Its append is in the log, and its answer hasn't come: it is stopped there.
   CHECK_TRUE(Eventually([&] {
     return Call(bed.mBed.Platform().mAddress, "GET", "/counters").Json()["next"] != before;
@@ -179,17 +179,17 @@
   const answer retried = bed.Record(2, "frozen", key);
   STRCMP_EQUAL("unknown", retried.Outcome().c_str());
   bed.mBed.Daemon("entry-1").mProcess->Signal(SIGCONT);
-  const answer told = first.get();
-  CheckTruth(bed, "frozen", told);
+  const answer reported = first.get();
+  CheckOutcomeMatchesRuns(bed, "frozen", reported);
 }
 
 TEST(once, AWinnerThatIsKilledLeavesItsCallUnknownAndNeverRunsItTwice)
 {
-  record_bed bed(2);
+  record_testbed bed(2);
   Control(bed.mBed.At("records-1"), { { "delay_ms", 800 } });
   const std::string key = FreshKey("killed");
   const std::uint64_t before = bed.Connections();
-  auto first = bed.RecordLater(1, "killed", key);
+  auto first = bed.RecordAsync(1, "killed", key);
   CHECK_TRUE(Eventually([&] { return bed.Connections() > before; }));
   bed.mBed.Daemon("entry-1").mProcess->Signal(SIGKILL);
   first.get();
@@ -202,12 +202,12 @@
 
 TEST(once, ALogOutageRefusesKeyedCallsAtOnceAndServesTheOthers)
 {
-  record_bed bed(2);
+  record_testbed bed(2);
   Control(bed.mBed.Platform(), { { "log_down", 1 } });
   const std::string key = FreshKey("outage");
   const std::int64_t start = NowMs();
-  const answer told = bed.Record(1, "outage", key);
-  STRCMP_EQUAL("not-run", told.Outcome().c_str());
+  const answer reported = bed.Record(1, "outage", key);
+  STRCMP_EQUAL("not-run", reported.Outcome().c_str());
   CHECK_TRUE(NowMs() - start < 3500);
   LONGS_EQUAL(0, bed.mBed.Runs("outage"));
   STRCMP_EQUAL("done", bed.Record(2, "unkeyed").Outcome().c_str());
@@ -223,7 +223,7 @@
 
 TEST(once, AKeyOlderThanTheWindowIsRefusedEvenWhenItsClaimIsForgotten)
 {
-  record_bed bed(1);
+  record_testbed bed(1);
   const answer old = bed.Record(1, "old", FreshKey("old", 601));
   LONGS_EQUAL(409, old.mStatus);
   STRCMP_EQUAL("unknown", old.Outcome().c_str());
--- a/tests/integration/order_test.cpp
+++ b/tests/integration/order_test.cpp
@@ -28,10 +28,10 @@
 using nlohmann::json;
 
 /** Fake frontend. */
-class played_frontend
+class fake_frontend
 {
 public:
-  explicit played_frontend(const std::string& aOwner)
+  explicit fake_frontend(const std::string& aOwner)
     : mOwner(ParseEndpoint(aOwner).value())
     , mListener(mIo, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0))
   {
@@ -117,7 +117,7 @@
 {
   testbed bed;
   bed.StartTutoring(1, 1, 1);
-  played_frontend frontend(bed.Daemon("entry-1").mPeers);
+  fake_frontend frontend(bed.Daemon("entry-1").mPeers);
   frontend.SendArrival();
   std::this_thread::sleep_for(300ms);
   frontend.SendHeartbeat();
@@ -128,7 +128,7 @@
 {
   testbed bed;
   bed.StartTutoring(1, 1, 1);
-  played_frontend frontend(bed.Daemon("entry-1").mPeers);
+  fake_frontend frontend(bed.Daemon("entry-1").mPeers);
   frontend.SendHeartbeat();
   std::this_thread::sleep_for(50ms);
   frontend.SendArrival();
