--- a/tests/integration/handover_test.cpp
+++ b/tests/integration/handover_test.cpp
@@ -111,7 +111,7 @@
   CHECK_TRUE(mStages == (std::vector<int>{ static_cast<int>(request_stage::eReady) }));
 }
 
-TEST(handover, AnAttemptThatGoesOnWhileItsOwnerIsToldOfItIsToldAgain)
+TEST(handover, AStageReachedWhileTheOwnerIsNotifiedIsSentToo)
 {
   Add(request_stage::ePrefilling);
   mOnEvent = [this] { mAttempts.Find(kAttempt)->mStage = request_stage::eReady; };
@@ -120,7 +120,7 @@
                                            static_cast<int>(request_stage::eReady) }));
 }
 
-TEST(handover, AnAttemptThatFailsWhileItsOwnerIsToldOfItIsAskedForAnew)
+TEST(handover, AnAttemptThatFailsWhileTheOwnerIsNotifiedIsCancelledAndSentAsNew)
 {
   Add(request_stage::ePrefilling);
   mOnEvent = [this] { mAttempts.Find(kAttempt)->mStage = request_stage::eWaiting; };
--- a/tests/integration/overlap_test.cpp
+++ b/tests/integration/overlap_test.cpp
@@ -21,40 +21,43 @@
 
 /** @return a figure of an engine's calls by those that watch it. */
 int
-Watched(testbed& aBed, const std::string& aEngine, const char* aFigure, const std::string& aPath)
+PollCounter(testbed& aBed,
+            const std::string& aEngine,
+            const char* aCounter,
+            const std::string& aPath)
 {
   const json counters = Call(aBed.At(aEngine).mAddress, "GET", "/counters").Json();
-  return counters.value(aFigure, json::object()).value(aPath, 0);
+  return counters.value(aCounter, json::object()).value(aPath, 0);
 }
 
-/** Sets how late an engine answers those that watch it, and lets @p aForMs pass: the time over
+/** Sets how late an engine answers those that watch it, and lets @p aSpanMs pass: the time over
  * which calls are counted. @return calls of @p aPath that began in it. */
 int
-WatchSlowly(testbed& aBed,
-            const std::string& aEngine,
-            const std::string& aPath,
-            int aLateMs,
-            int aForMs)
+CountCallsWithDelay(testbed& aBed,
+                    const std::string& aEngine,
+                    const std::string& aPath,
+                    int aDelayMs,
+                    int aSpanMs)
 {
-  const int before = Watched(aBed, aEngine, "watch_calls", aPath);
-  Control(aBed.At(aEngine), { { "watch_ms", aLateMs } });
-  std::this_thread::sleep_for(std::chrono::milliseconds(aForMs));
-  const int after = Watched(aBed, aEngine, "watch_calls", aPath);
-  const int most = Watched(aBed, aEngine, "watch_open_most", aPath);
+  const int before = PollCounter(aBed, aEngine, "watch_calls", aPath);
+  Control(aBed.At(aEngine), { { "watch_ms", aDelayMs } });
+  std::this_thread::sleep_for(std::chrono::milliseconds(aSpanMs));
+  const int after = PollCounter(aBed, aEngine, "watch_calls", aPath);
+  const int maxOpen = PollCounter(aBed, aEngine, "watch_open_most", aPath);
   UT_PRINT(
     StringFromFormat("%s at %s, answered after %d ms: %d calls in %d ms, %d open at once at most",
                      aPath.c_str(),
                      aEngine.c_str(),
-                     aLateMs,
+                     aDelayMs,
                      after - before,
-                     aForMs,
-                     most));
+                     aSpanMs,
+                     maxOpen));
   return after - before;
 }
 
 /** Adds a route whose cell has the same prefill engines. */
 void
-AddCellOnTheSamePrefill(testbed& aBed)
+AddRouteWithSamePrefillPool(testbed& aBed)
 {
   const entry_daemon& entry = aBed.Daemon("entry-1");
   aBed.Put(entry, "link", "second", { { "bytes_per_second", 5000000000 } });
@@ -77,34 +80,34 @@
 
 TEST_GROUP(overlap){};
 
-TEST(overlap, AnEngineIsLookedAtOnceAtATime)
+TEST(overlap, AnEngineIsPolledOnceAtATime)
 {
   testbed bed;
   bed.StartTutoring(1, 1, 1);
-  AddCellOnTheSamePrefill(bed);
+  AddRouteWithSamePrefillPool(bed);
   // Late, but within the time limit of a call.
-  WatchSlowly(bed, "prefill-1", kHolds, 400, 4000);
-  WatchSlowly(bed, "decode-1", kHolds, 400, 2000);
-  LONGS_EQUAL(1, Watched(bed, "prefill-1", "watch_open_most", kHolds));
-  LONGS_EQUAL(1, Watched(bed, "prefill-1", "watch_open_most", kCacheEvents));
-  LONGS_EQUAL(1, Watched(bed, "decode-1", "watch_open_most", kHolds));
+  CountCallsWithDelay(bed, "prefill-1", kHolds, 400, 4000);
+  CountCallsWithDelay(bed, "decode-1", kHolds, 400, 2000);
+  LONGS_EQUAL(1, PollCounter(bed, "prefill-1", "watch_open_most", kHolds));
+  LONGS_EQUAL(1, PollCounter(bed, "prefill-1", "watch_open_most", kCacheEvents));
+  LONGS_EQUAL(1, PollCounter(bed, "decode-1", "watch_open_most", kHolds));
 }
 
-TEST(overlap, AnEngineThatIsLateIsLookedAtLessOften)
+TEST(overlap, ASlowEngineIsPolledLessOften)
 {
   testbed bed;
   bed.StartTutoring(1, 1, 1);
   // Each call's time limit of 500 ms passes. With a rest of 450 ms one call begins every 950 ms,
   // and as the engine answers each after 2 s, three of them are under way there at most.
-  const int calls = WatchSlowly(bed, "prefill-1", kHolds, 2000, 6000);
+  const int calls = CountCallsWithDelay(bed, "prefill-1", kHolds, 2000, 6000);
   CHECK_TRUE(calls >= 4);
   CHECK_TRUE(calls <= 8);
-  CHECK_TRUE(Watched(bed, "prefill-1", "watch_open_most", kHolds) <= 3);
+  CHECK_TRUE(PollCounter(bed, "prefill-1", "watch_open_most", kHolds) <= 3);
   // It's looked at as often as before once it answers.
   Control(bed.At("prefill-1"), { { "watch_ms", 0 } });
-  const int before = Watched(bed, "prefill-1", "watch_calls", kHolds);
+  const int before = PollCounter(bed, "prefill-1", "watch_calls", kHolds);
   CHECK_TRUE(Eventually(
-    [&] { return Watched(bed, "prefill-1", "watch_calls", kHolds) >= before + 10; }, 5000));
+    [&] { return PollCounter(bed, "prefill-1", "watch_calls", kHolds) >= before + 10; }, 5000));
 }
 
 TEST(overlap, CacheEventsOfASlowEngineAreTakenOnce)
@@ -155,11 +158,11 @@
   };
   CHECK_TRUE(Eventually(freed, 8000));
   std::this_thread::sleep_for(std::chrono::milliseconds(1000)); // For cancels that come too late.
-  const int cancels = Watched(bed, "prefill-1", "watch_calls", kCancel);
+  const int cancels = PollCounter(bed, "prefill-1", "watch_calls", kCancel);
   UT_PRINT(StringFromFormat("cancels of four holds: %d, %d open at once at most",
                             cancels,
-                            Watched(bed, "prefill-1", "watch_open_most", kCancel)));
-  LONGS_EQUAL(1, Watched(bed, "prefill-1", "watch_open_most", kCancel));
+                            PollCounter(bed, "prefill-1", "watch_open_most", kCancel)));
+  LONGS_EQUAL(1, PollCounter(bed, "prefill-1", "watch_open_most", kCancel));
   LONGS_EQUAL(4, cancels);
 }
 
--- a/tests/unit/follower_test.cpp
+++ b/tests/unit/follower_test.cpp
@@ -19,7 +19,7 @@
 
 const char* const kSecret = "secret";
 const endpoint kAnyPort{ "127.0.0.1", 0 };
-constexpr std::uint64_t kAhead = 1000; ///< Next offset of the fake daemon.
+constexpr std::uint64_t kPeerNext = 1000; ///< Next offset of the fake daemon.
 
 instant
 Now()
@@ -29,10 +29,10 @@
 
 /** Fake daemon that is ahead: it no longer has the records wanted, and sends its snapshot slowly.
  */
-class peer_standin
+class fake_daemon
 {
 public:
-  explicit peer_standin(asio::io_context& aIo)
+  explicit fake_daemon(asio::io_context& aIo)
     : mIo(aIo)
     , mAcceptor(OpenAcceptor(aIo, kAnyPort).value())
   {
@@ -44,9 +44,9 @@
   duration mSnapshotTime{ 0 }; ///< How long the answer with the snapshot takes to be sent.
   bool mAnswersRecords = true; ///< If false, calls for records get no answer.
   int mRecordCalls = 0;        ///< Calls for records.
-  int mRecordsWanted = 0;      ///< Record limit of the last of them.
+  int mRecordLimit = 0;        ///< Record limit of the last of them.
   int mSnapshotCalls = 0;      ///< Calls for a snapshot.
-  int mSnapshotsWhole = 0;     ///< Snapshots sent completely.
+  int mSnapshotsSent = 0;      ///< Snapshots sent completely.
 
 private:
   asio::awaitable<void> AcceptLoop()
@@ -90,14 +90,14 @@
     int pieces = 1;
     if (method == "records") {
       ++mRecordCalls;
-      mRecordsWanted = aRequest["params"]["message"].value("most", 0);
+      mRecordLimit = aRequest["params"]["message"].value("most", 0);
       response["result"] = { { "too_old", true } };
       if (!mAnswersRecords) {
         co_return true;
       }
     } else if (method == "snapshot") {
       ++mSnapshotCalls;
-      response["result"] = { { "at", kAhead - 1 }, { "entries", json::array() } };
+      response["result"] = { { "at", kPeerNext - 1 }, { "entries", json::array() } };
       pieces = 50;
     } else {
       response["result"] = { { "active", true } };
@@ -116,7 +116,7 @@
         co_return false; // The link is free for what comes next.
       }
     }
-    mSnapshotsWhole += method == "snapshot" ? 1 : 0;
+    mSnapshotsSent += method == "snapshot" ? 1 : 0;
     co_return true;
   }
 
@@ -125,10 +125,10 @@
 };
 
 /** Fake log that has no new records and answers at once. */
-class log_standin
+class fake_log
 {
 public:
-  explicit log_standin(asio::io_context& aIo)
+  explicit fake_log(asio::io_context& aIo)
     : mListener(http_listener::Open(aIo, kAnyPort, http_limits{}, [this](exchange_ptr aExchange) {
                   return Serve(std::move(aExchange));
                 }).value())
@@ -152,9 +152,9 @@
 };
 
 /** A follower, and a member that is ahead of it. */
-struct follower_bed
+struct follower_testbed
 {
-  explicit follower_bed(const endpoint& aLog)
+  explicit follower_testbed(const endpoint& aLog)
     : mLog(aLog)
   {
   }
@@ -163,16 +163,16 @@
   void Run(duration aSpan) { mIo.run_for(aSpan); }
 
   /** Starts the follower beside the stand-in of a daemon. */
-  void StartBeside(const endpoint& aPeer)
+  void StartWithPeer(const endpoint& aPeer)
   {
     member_info ahead;
     ahead.mIncarnation = { 2 };
     ahead.mAddress = aPeer;
-    ahead.mNext = kAhead;
+    ahead.mNext = kPeerNext;
     ahead.mServing = true;
-    mAhead = std::make_unique<member_table>(ahead, member_settings{}, kSecret);
-    mAhead->AddSeed({ "127.0.0.1", 1 });
-    mMembers.Receive(mAhead->BuildHeartbeat(Now()).mData, Now());
+    mPeerTable = std::make_unique<member_table>(ahead, member_settings{}, kSecret);
+    mPeerTable->AddSeed({ "127.0.0.1", 1 });
+    mMembers.Receive(mPeerTable->BuildHeartbeat(Now()).mData, Now());
     mFollower.Start();
   }
 
@@ -189,7 +189,7 @@
 
   asio::awaitable<void> ShortCall(std::optional<bool>& aAnswered)
   {
-    const member_info ahead = mAhead->Self();
+    const member_info ahead = mPeerTable->Self();
     const result<json> answer =
       co_await mPeers.Call(ahead, "attempt_active", json::object(), 300ms);
     aAnswered = answer.has_value();
@@ -206,12 +206,12 @@
   asio::io_context mIo{ 1 };
   endpoint mLog;
   member_table mMembers{ Self(), member_settings{}, kSecret };
-  std::unique_ptr<member_table> mAhead; ///< The fake daemon's own table.
+  std::unique_ptr<member_table> mPeerTable; ///< The fake daemon's own table.
   peer_directory mPeers{ mIo, mMembers, kSecret };
   log_follower mFollower{ mIo, mLog, follower_settings{}, mMembers, mPeers };
 };
 
-const endpoint kNoLog{ "127.0.0.1", 1 }; ///< Nothing listens there.
+const endpoint kUnreachableLog{ "127.0.0.1", 1 }; ///< Nothing listens there.
 
 } // namespace
 
@@ -219,55 +219,55 @@
 
 TEST(follower, ASnapshotThatTakesLongerThanItsLimitIsTakenInTheEnd)
 {
-  follower_bed bed(kNoLog);
-  peer_standin peer(bed.mIo);
+  follower_testbed bed(kUnreachableLog);
+  fake_daemon peer(bed.mIo);
   peer.mSnapshotTime = 7s;
-  bed.StartBeside(peer.Address());
+  bed.StartWithPeer(peer.Address());
   const instant began = Now();
-  while (bed.mFollower.State().Next() < kAhead && Now() - began < 20s) {
+  while (bed.mFollower.State().Next() < kPeerNext && Now() - began < 20s) {
     bed.Run(50ms);
   }
   UT_PRINT(StringFromFormat("next %d after %d ms: %d snapshots asked for, %d sent whole",
                             static_cast<int>(bed.mFollower.State().Next()),
                             static_cast<int>((Now() - began).count() / 1000),
                             peer.mSnapshotCalls,
-                            peer.mSnapshotsWhole));
-  LONGS_EQUAL(kAhead, bed.mFollower.State().Next());
+                            peer.mSnapshotsSent));
+  LONGS_EQUAL(kPeerNext, bed.mFollower.State().Next());
   LONGS_EQUAL(2, peer.mSnapshotCalls);
-  LONGS_EQUAL(1, peer.mSnapshotsWhole);
+  LONGS_EQUAL(1, peer.mSnapshotsSent);
 }
 
 TEST(follower, ASnapshotUnderWayDoesntHoldUpOtherCalls)
 {
-  follower_bed bed(kNoLog);
-  peer_standin peer(bed.mIo);
+  follower_testbed bed(kUnreachableLog);
+  fake_daemon peer(bed.mIo);
   peer.mSnapshotTime = 3s;
-  bed.StartBeside(peer.Address());
+  bed.StartWithPeer(peer.Address());
   bed.Run(1s);
   LONGS_EQUAL(1, peer.mSnapshotCalls);
-  LONGS_EQUAL(0, peer.mSnapshotsWhole);
+  LONGS_EQUAL(0, peer.mSnapshotsSent);
   CHECK_TRUE(bed.ShortCallIsAnswered());
 }
 
 TEST(follower, AMemberThatDoesntAnswerIsAskedForRecordsLessOften)
 {
-  follower_bed bed(kNoLog);
-  peer_standin peer(bed.mIo);
+  follower_testbed bed(kUnreachableLog);
+  fake_daemon peer(bed.mIo);
   peer.mAnswersRecords = false;
-  bed.StartBeside(peer.Address());
+  bed.StartWithPeer(peer.Address());
   bed.Run(7s);
   UT_PRINT(StringFromFormat("asked for records %d times in 7 s, for %d the last time",
                             peer.mRecordCalls,
-                            peer.mRecordsWanted));
+                            peer.mRecordLimit));
   CHECK_TRUE(peer.mRecordCalls >= 3);
   CHECK_TRUE(peer.mRecordCalls <= 6);
-  CHECK_TRUE(peer.mRecordsWanted <= 64);
+  CHECK_TRUE(peer.mRecordLimit <= 64);
 }
 
 TEST(follower, ALogThatAnswersNothingAtOnceIsReadLessOften)
 {
-  follower_bed bed(kNoLog);
-  log_standin log(bed.mIo);
+  follower_testbed bed(kUnreachableLog);
+  fake_log log(bed.mIo);
   member_table& members = bed.mMembers;
   log_follower follower(bed.mIo, log.Address(), follower_settings{}, members, bed.mPeers);
   follower.Start();
@@ -279,8 +279,8 @@
 
 TEST(follower, ALogThatFailsIsReadLessOften)
 {
-  follower_bed bed(kNoLog);
-  log_standin log(bed.mIo);
+  follower_testbed bed(kUnreachableLog);
+  fake_log log(bed.mIo);
   log.mFails = true;
   member_table& members = bed.mMembers;
   log_follower follower(bed.mIo, log.Address(), follower_settings{}, members, bed.mPeers);
