--- a/tests/integration/handover_test.cpp
+++ b/tests/integration/handover_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file handover_test.cpp
- * What a new owner of a cell is told of an attempt under way. The owner is played by the test: a
- * listener for calls between daemons that notes the events.
+ * The events that a new owner of a cell receives for an attempt in progress. The owner is a fake: a
+ * listener for calls between daemons that records the events.
  */
 #include "control/message_func.h"
 #include "control/owner_router.h"
@@ -17,15 +17,15 @@
 
 using nlohmann::json;
 
-/** Refuses connections: nothing here is asked of the log, the host list or engines. */
-const endpoint kNobody{ "127.0.0.250", 9 };
+/** Refuses connections: these tests need no log, host list or engines. */
+const endpoint kUnreachable{ "127.0.0.250", 9 };
 constexpr incarnation_id kFrontend{ 0x1111 };
 constexpr incarnation_id kFormerOwner{ 0x2222 };
 constexpr incarnation_id kOwner{ 0x3333 };
 const attempt_id kAttempt{ kFrontend, 1 };
 const cell_key kCell{ "prefill", "decode", "link" };
-/** Time until the owner knows all. */
-constexpr duration kToldWithin = 1s;
+/** Time for the owner to receive all events. */
+constexpr duration kEventWait = 1s;
 
 member_info
 InfoOf(incarnation_id aIncarnation, const endpoint& aAddress)
@@ -41,17 +41,17 @@
 
 TEST_GROUP(handover)
 {
-  asio::io_context mIo{ 1 };               ///< Runs both sides.
-  rpc_dispatcher mDispatcher;              ///< Of the owner.
-  std::unique_ptr<peer_listener> mOwnerAt; ///< Of the owner.
-  std::vector<std::string> mTypes;         ///< Types of the events that the owner was told of.
-  std::vector<int> mStages;                ///< Stages that it was told of, in order.
-  std::function<void()> mOnEvent;          ///< Done as an event comes.
-
-  member_table mMembers{ InfoOf(kFrontend, kNobody), {}, kPeerSecret };
+  asio::io_context mIo{ 1 };                     ///< Runs both sides.
+  rpc_dispatcher mDispatcher;                    ///< Of the owner.
+  std::unique_ptr<peer_listener> mOwnerListener; ///< Of the owner.
+  std::vector<std::string> mTypes;               ///< Types of the events that the owner received.
+  std::vector<int> mStages;                      ///< Stages that it received, in order.
+  std::function<void()> mOnEvent;                ///< Called when an event arrives.
+
+  member_table mMembers{ InfoOf(kFrontend, kUnreachable), {}, kPeerSecret };
   peer_directory mPeers{ mIo, mMembers, kPeerSecret };
-  log_follower mLog{ mIo, kNobody, {}, mMembers, mPeers };
-  host_directory mHosts{ mIo, kNobody, 1s };
+  log_follower mLog{ mIo, kUnreachable, {}, mMembers, mPeers };
+  host_directory mHosts{ mIo, kUnreachable, 1s };
   engine_client mEngines;
   attempt_registry mAttempts;
   cell_owner mCells{ mIo, mLog, mHosts, mMembers, mPeers, mEngines, mAttempts };
@@ -70,11 +70,11 @@
       }
       return json{ { "taken", true } }.dump();
     });
-    mOwnerAt =
+    mOwnerListener =
       std::move(peer_listener::Open(mIo, { "127.0.0.1", 0 }, kPeerSecret, mDispatcher).value());
-    member_table owner(InfoOf(kOwner, mOwnerAt->Address()), {}, kPeerSecret);
+    member_table owner(InfoOf(kOwner, mOwnerListener->Address()), {}, kPeerSecret);
     owner.SetSelf(1, true);
-    owner.AddSeed(kNobody);
+    owner.AddSeed(kUnreachable);
     mMembers.Receive(owner.BuildHeartbeat(boot_clock_source{}.Now()).mData,
                      boot_clock_source{}.Now());
     CHECK_TRUE(mMembers.OwnerOf(ToText(kCell)).mIncarnation == kOwner);
@@ -97,7 +97,7 @@
   void TellOwner()
   {
     mRouter.Start();
-    mIo.run_for(kToldWithin);
+    mIo.run_for(kEventWait);
   }
 };
 
@@ -111,7 +111,7 @@
   CHECK_TRUE(mStages == (std::vector<int>{ static_cast<int>(request_stage::eReady) }));
 }
 
-TEST(handover, AnAttemptThatGoesOnWhileItsOwnerIsToldOfItIsToldAgain)
+TEST(handover, AStageReachedWhileTheOwnerIsNotifiedIsSentToo)
 {
   Add(request_stage::ePrefilling);
   mOnEvent = [this] { mAttempts.Find(kAttempt)->mStage = request_stage::eReady; };
@@ -120,7 +120,7 @@
                                            static_cast<int>(request_stage::eReady) }));
 }
 
-TEST(handover, AnAttemptThatFailsWhileItsOwnerIsToldOfItIsAskedForAnew)
+TEST(handover, AnAttemptThatFailsWhileTheOwnerIsNotifiedIsCancelledAndSentAsNew)
 {
   Add(request_stage::ePrefilling);
   mOnEvent = [this] { mAttempts.Find(kAttempt)->mStage = request_stage::eWaiting; };
--- a/tests/integration/order_test.cpp
+++ b/tests/integration/order_test.cpp
@@ -1,7 +1,7 @@
 /**
  * @file order_test.cpp
- * Orders of an owner to a frontend whose heartbeat comes after its events. The frontend is played
- * by the test: a listener for calls between daemons, and a member table that builds its heartbeat.
+ * Orders of an owner to a frontend whose heartbeat arrives after its events. The frontend is a
+ * fake: a listener for calls between daemons, and a member table that builds its heartbeat.
  */
 #include "control/message_func.h"
 #include "membership/member_base.h"
@@ -27,11 +27,11 @@
 using asio::ip::udp;
 using nlohmann::json;
 
-/** A frontend that a test plays. */
-class played_frontend
+/** Fake frontend. */
+class fake_frontend
 {
 public:
-  explicit played_frontend(const std::string& aOwner)
+  explicit fake_frontend(const std::string& aOwner)
     : mOwner(ParseEndpoint(aOwner).value())
     , mListener(mIo, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0))
   {
@@ -117,7 +117,7 @@
 {
   testbed bed;
   bed.StartTutoring(1, 1, 1);
-  played_frontend frontend(bed.Daemon("entry-1").mPeers);
+  fake_frontend frontend(bed.Daemon("entry-1").mPeers);
   frontend.SendArrival();
   std::this_thread::sleep_for(300ms);
   frontend.SendHeartbeat();
@@ -128,7 +128,7 @@
 {
   testbed bed;
   bed.StartTutoring(1, 1, 1);
-  played_frontend frontend(bed.Daemon("entry-1").mPeers);
+  fake_frontend frontend(bed.Daemon("entry-1").mPeers);
   frontend.SendHeartbeat();
   std::this_thread::sleep_for(50ms);
   frontend.SendArrival();
