--- a/tests/integration/handover_test.cpp
+++ b/tests/integration/handover_test.cpp
@@ -24,7 +24,7 @@
 constexpr incarnation_id kOwner{ 0x3333 };
 const attempt_id kAttempt{ kFrontend, 1 };
 const cell_key kCell{ "prefill", "decode", "link" };
-/** Time for the owner to receive all events. */
+/** Time for the owner to receive all events; each test waits for all of it. */
 constexpr duration kEventWait = 1s;
 
 member_info
@@ -41,9 +41,9 @@
 
 TEST_GROUP(handover)
 {
-  asio::io_context mIo{ 1 };                     ///< Runs both sides.
-  rpc_dispatcher mDispatcher;                    ///< Of the owner.
-  std::unique_ptr<peer_listener> mOwnerListener; ///< Of the owner.
+  asio::io_context mIo{ 1 };                     ///< Runs the owner and the frontend.
+  rpc_dispatcher mDispatcher;                    ///< Calls that the owner answers.
+  std::unique_ptr<peer_listener> mOwnerListener; ///< Accepts calls to the owner.
   std::vector<std::string> mTypes;               ///< Types of the events that the owner received.
   std::vector<int> mStages;                      ///< Stages that it received, in order.
   std::function<void()> mOnEvent;                ///< Called when an event arrives.
@@ -80,7 +80,7 @@
     CHECK_TRUE(mMembers.OwnerOf(ToText(kCell)).mIncarnation == kOwner);
   }
 
-  /** Adds the attempt, which the former owner knows, at a stage. */
+  /** Adds an attempt at this stage that only the former owner has been told of. */
   void Add(request_stage aStage)
   {
     attempt_entry entry;
--- a/tests/integration/holds_test.cpp
+++ b/tests/integration/holds_test.cpp
@@ -17,7 +17,7 @@
 constexpr int kFreeTimeoutMs = 2000;
 const std::string kLongPrompt(4000, 'x'); // 1000 tokens.
 
-/** Stage at which the caller or daemon goes away. */
+/** Stage of the request when its caller closes or its daemon is killed. */
 enum class stage
 {
   eQueue,
@@ -73,6 +73,7 @@
   auto call = std::make_unique<stream>(aEntry.mCallers, CompletionBody(kLongPrompt, 200));
   switch (aStage) {
     case stage::eQueue:
+      // No such line is logged: this waits 300 ms for the call to be queued.
       aEntry.mProcess->WaitForLine("\"event\":\"nothing\"", 300);
       break;
     case stage::ePrefill:
@@ -104,7 +105,7 @@
   if (holder) {
     holder->Close();
     CHECK_TRUE(Eventually([&] { return bed.Holds() == 0; }, kFreeTimeoutMs));
-    // The closed call must not take the freed slot.
+    // The closed call must have left the queue: it must not run once the slot is free.
     CHECK_FALSE(Eventually([&] { return bed.Holds() > 0; }, 500));
   }
 }
--- a/tests/integration/once_test.cpp
+++ b/tests/integration/once_test.cpp
@@ -49,7 +49,7 @@
   testbed mBed; ///< The deployment.
 };
 
-/** Compares the reported outcome with the service's count of runs. */
+/** Checks that the reported outcome agrees with the service's own count of runs. */
 void
 CheckOutcomeMatchesRuns(record_testbed& aBed, const std::string& aRecord, const answer& aAnswer)
 {
@@ -165,7 +165,7 @@
   Control(bed.mBed.Platform(), { { "log_slow_ms", 700 } });
   const auto before = Call(bed.mBed.Platform().mAddress, "GET", "/counters").Json()["next"];
   auto first = bed.RecordAsync(1, "frozen", key);
-  // Its append is in the log, and its answer hasn't come: it is stopped there.
+  // Freezes the daemon when its append is in the log and the log's answer hasn't arrived.
   CHECK_TRUE(Eventually([&] {
     return Call(bed.mBed.Platform().mAddress, "GET", "/counters").Json()["next"] != before;
   }));
@@ -228,7 +228,7 @@
   LONGS_EQUAL(409, old.mStatus);
   STRCMP_EQUAL("unknown", old.Outcome().c_str());
   LONGS_EQUAL(0, bed.mBed.Runs("old"));
-  // The log's clock passes the window: the claim is gone from the fold, and so is the key.
+  // The log's clock passes the window, so the claim and its key are removed from the state.
   const std::string key = FreshKey("reused");
   STRCMP_EQUAL("done", bed.Record(1, "reused", key).Outcome().c_str());
   Control(bed.mBed.Platform(), { { "clock_ahead_ms", 700'000 } });
--- a/tests/integration/order_test.cpp
+++ b/tests/integration/order_test.cpp
@@ -27,7 +27,7 @@
 using asio::ip::udp;
 using nlohmann::json;
 
-/** Fake frontend. */
+/** Frontend that sends its arrival event and its heartbeat only when a test says so. */
 class fake_frontend
 {
 public:
@@ -38,7 +38,7 @@
     mListener.non_blocking(true);
   }
 
-  /** Tells the owner of a request. */
+  /** Sends the owner the event that a request has arrived. */
   void SendArrival()
   {
     request_arrived arrived;
@@ -100,19 +100,19 @@
   }
 
 private:
-  endpoint mOwner;                          ///< Of the cell.
+  endpoint mOwner;                          ///< The cell's owner.
   incarnation_id mIncarnation{ 0x1234567 }; ///< The frontend's run.
   asio::io_context mIo;                     ///< For the sockets; they block.
-  tcp::acceptor mListener;                  ///< Takes the owner's calls.
+  tcp::acceptor mListener;                  ///< Accepts the owner's calls.
 };
 
 } // namespace
 
 TEST_GROUP(orders){};
 
-// A daemon that has just started is known to a frontend, by its own heartbeat, some ms before it
-// knows the frontend. An order that was dropped then left its call without an answer until the
-// caller gave up.
+// A frontend learns of a newly started daemon from that daemon's heartbeat, some ms before the
+// daemon learns of the frontend. If the daemon drops its order in that time, the call gets no
+// answer until the caller gives up.
 TEST(orders, AFrontendThatIsHeardAfterItsEventGetsTheOrder)
 {
   testbed bed;
--- a/tests/integration/overlap_test.cpp
+++ b/tests/integration/overlap_test.cpp
@@ -19,7 +19,7 @@
 const std::string kCacheEvents = "/v1/cache_events";
 const std::string kCancel = "/v1/cancel";
 
-/** @return a figure of an engine's calls by those that watch it. */
+/** @return a counter of an engine's calls to @p aPath, one of the paths that daemons poll. */
 int
 PollCounter(testbed& aBed,
             const std::string& aEngine,
@@ -30,8 +30,8 @@
   return counters.value(aCounter, json::object()).value(aPath, 0);
 }
 
-/** Sets how late an engine answers those that watch it, and lets @p aSpanMs pass: the time over
- * which calls are counted. @return calls of @p aPath that began in it. */
+/** Delays the engine's answers to polls by @p aDelayMs and counts calls for @p aSpanMs.
+ * @return calls to @p aPath that began in that time. */
 int
 CountCallsWithDelay(testbed& aBed,
                     const std::string& aEngine,
@@ -55,7 +55,7 @@
   return after - before;
 }
 
-/** Adds a route whose cell has the same prefill engines. */
+/** Adds a route whose cell shares the first cell's prefill engines. */
 void
 AddRouteWithSamePrefillPool(testbed& aBed)
 {
@@ -85,7 +85,7 @@
   testbed bed;
   bed.StartTutoring(1, 1, 1);
   AddRouteWithSamePrefillPool(bed);
-  // Late, but within the time limit of a call.
+  // Slow, but within the time limit of a call.
   CountCallsWithDelay(bed, "prefill-1", kHolds, 400, 4000);
   CountCallsWithDelay(bed, "decode-1", kHolds, 400, 2000);
   LONGS_EQUAL(1, PollCounter(bed, "prefill-1", "watch_open_most", kHolds));
@@ -97,13 +97,13 @@
 {
   testbed bed;
   bed.StartTutoring(1, 1, 1);
-  // Each call's time limit of 500 ms passes. With a rest of 450 ms one call begins every 950 ms,
-  // and as the engine answers each after 2 s, three of them are under way there at most.
+  // Each call ends at its time limit of 500 ms. With a pause of 450 ms, one call begins every
+  // 950 ms. The engine answers each after 2 s, so it has at most three open at once.
   const int calls = CountCallsWithDelay(bed, "prefill-1", kHolds, 2000, 6000);
   CHECK_TRUE(calls >= 4);
   CHECK_TRUE(calls <= 8);
   CHECK_TRUE(PollCounter(bed, "prefill-1", "watch_open_most", kHolds) <= 3);
-  // It's looked at as often as before once it answers.
+  // Once it answers in time, it's polled as often as before.
   Control(bed.At("prefill-1"), { { "watch_ms", 0 } });
   const int before = PollCounter(bed, "prefill-1", "watch_calls", kHolds);
   CHECK_TRUE(Eventually(
@@ -140,7 +140,7 @@
   const entry_daemon& entry = bed.Daemon("entry-1");
   bed.ApplyTutoring(entry);
   CHECK_FALSE(entry.mProcess->WaitForLine("\"event\":\"cell_taken\"").empty());
-  // A hold of a daemon that nobody has heard of.
+  // Holds of a daemon that isn't a member.
   const standin& engine = bed.At("prefill-1");
   std::vector<std::future<answer>> calls;
   for (int number = 1; number <= 4; ++number) {
@@ -157,7 +157,7 @@
     return counters.value("holds", 1) == 0;
   };
   CHECK_TRUE(Eventually(freed, 8000));
-  std::this_thread::sleep_for(std::chrono::milliseconds(1000)); // For cancels that come too late.
+  std::this_thread::sleep_for(std::chrono::milliseconds(1000)); // For late cancels.
   const int cancels = PollCounter(bed, "prefill-1", "watch_calls", kCancel);
   UT_PRINT(StringFromFormat("cancels of four holds: %d, %d open at once at most",
                             cancels,
@@ -189,7 +189,7 @@
   UT_PRINT(StringFromFormat("a load that fails: ordered %d times in 7 s", orders()));
   CHECK_TRUE(orders() >= 3);
   CHECK_TRUE(orders() <= 5);
-  CHECK_TRUE(loaded("decode-2", "2")); // The others aren't held up.
+  CHECK_TRUE(loaded("decode-2", "2")); // Other engines aren't delayed.
   // Another version is ordered at once.
   Control(failing, { { "fail_loads", 0 } });
   spec["version"] = "3";
--- a/tests/unit/follower_test.cpp
+++ b/tests/unit/follower_test.cpp
@@ -27,8 +27,8 @@
   return boot_clock_source().Now();
 }
 
-/** Fake daemon that is ahead: it no longer has the records wanted, and sends its snapshot slowly.
- */
+/** Fake daemon that is ahead: it no longer has the records asked for, and sends its snapshot
+ * slowly. */
 class fake_daemon
 {
 public:
@@ -41,10 +41,10 @@
 
   endpoint Address() const { return AddressOf(mAcceptor); }
 
-  duration mSnapshotTime{ 0 }; ///< How long the answer with the snapshot takes to be sent.
+  duration mSnapshotTime{ 0 }; ///< Time to send the answer with the snapshot.
   bool mAnswersRecords = true; ///< If false, calls for records get no answer.
   int mRecordCalls = 0;        ///< Calls for records.
-  int mRecordLimit = 0;        ///< Record limit of the last of them.
+  int mRecordLimit = 0;        ///< Record limit of the last such call.
   int mSnapshotCalls = 0;      ///< Calls for a snapshot.
   int mSnapshotsSent = 0;      ///< Snapshots sent completely.
 
@@ -113,7 +113,7 @@
         aSocket, asio::buffer(text.data(), size), asio::redirect_error(asio::use_awaitable, error));
       text.erase(0, size);
       if (error) {
-        co_return false; // The link is free for what comes next.
+        co_return false; // The client closed the connection.
       }
     }
     mSnapshotsSent += method == "snapshot" ? 1 : 0;
@@ -138,7 +138,7 @@
   endpoint Address() const { return mListener->Address(); }
 
   int mReads = 0;      ///< Calls for records.
-  bool mFails = false; ///< It answers with an error.
+  bool mFails = false; ///< If true, calls get an error.
 
 private:
   asio::awaitable<void> Serve(exchange_ptr aExchange)
@@ -148,7 +148,7 @@
     co_await aExchange->Respond(mFails ? 503 : 200, body.dump());
   }
 
-  std::unique_ptr<http_listener> mListener; ///< Takes the calls.
+  std::unique_ptr<http_listener> mListener; ///< Accepts the calls.
 };
 
 /** A follower, and a member that is ahead of it. */
@@ -162,7 +162,7 @@
   /** Runs everything for a time. */
   void Run(duration aSpan) { mIo.run_for(aSpan); }
 
-  /** Starts the follower beside the stand-in of a daemon. */
+  /** Starts the follower with a member at @p aPeer that is ahead of it. */
   void StartWithPeer(const endpoint& aPeer)
   {
     member_info ahead;
